--- a/src/gateway/news/mod.rs
+++ b/src/gateway/news/mod.rs
@@ -4,6 +4,8 @@
 mod follow;
 
 mod messages;
+#[cfg(test)]
+mod messages_tests;
 mod reader;
 mod table_log;
 #[cfg(test)]
--- a/src/gateway/quotas/mod.rs
+++ b/src/gateway/quotas/mod.rs
@@ -2,6 +2,8 @@
 
 mod asker;
 mod messages;
+#[cfg(test)]
+mod messages_tests;
 mod shares;
 mod size;
 
--- a/src/gateway/store/mod.rs
+++ b/src/gateway/store/mod.rs
@@ -3,6 +3,8 @@
 mod health;
 mod relay;
 mod relay_order;
+#[cfg(test)]
+mod relay_tests;
 mod ways;
 
 use std::cell::{Cell, RefCell};
--- a/src/gateway/sweep.rs
+++ b/src/gateway/sweep.rs
@@ -200,3 +200,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/gateway/sweep/tests.rs
@@ -0,0 +1,10 @@
+//! The sweep's lease keeps its form, so that instances of two releases share it.
+
+use super::SweepLease;
+
+#[test]
+fn the_lease_keeps_its_form() {
+    let text = r#"{"holder":"a","until_ms":1700}"#;
+    let lease: SweepLease = serde_json::from_str(text).expect("it is readable");
+    assert_eq!(serde_json::to_string(&lease).expect("leases serialize"), text);
+}
--- a/src/gateway/turns/mod.rs
+++ b/src/gateway/turns/mod.rs
@@ -5,6 +5,8 @@
 mod claim;
 mod coordinate;
 mod messages;
+#[cfg(test)]
+mod messages_tests;
 mod reserve;
 mod rows;
 mod serve;
--- a/src/node/peers/mod.rs
+++ b/src/node/peers/mod.rs
@@ -1,6 +1,8 @@
 //! Other instances as this one uses them.
 
 mod codec;
+#[cfg(test)]
+mod codec_tests;
 mod network;
 mod server;
 mod timed;
