--- a/src/bench/cores.rs
+++ b/src/bench/cores.rs
@@ -281,7 +281,7 @@
     for index in 0..count {
         let entry = UpstreamEntry {
             id: format!("upstream-{index}").into(),
-            born: None,
+            started_at: None,
             service: "service".into(),
             address: format!("10.1.{}.{}:80", index / 250, index % 250).into(),
             zone: format!("zone-{}", index % 5).into(),
--- a/src/core/turns/lines.rs
+++ b/src/core/turns/lines.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::core::ids::UpstreamId;
-use crate::core::upstreams::BirthMillis;
+use crate::core::upstreams::StartMillis;
 
 /// Name of a line of turns that follow one another, chosen by its caller.
 pub type LineName = Box<str>;
@@ -19,7 +19,7 @@
     pub line: Option<LineName>,
     pub upstream: UpstreamId,
     /// Which life of it, where it tells.
-    pub born: Option<BirthMillis>,
+    pub born: Option<StartMillis>,
 }
 
 /// Where the last turn of each line of a program ran, the latest last.
--- a/src/core/turns/record.rs
+++ b/src/core/turns/record.rs
@@ -8,7 +8,7 @@
 
 use super::{ProgramName, TurnId};
 use crate::core::ids::{Tokens, UpstreamId};
-use crate::core::upstreams::BirthMillis;
+use crate::core::upstreams::StartMillis;
 use crate::util::framed::{frame, unframe};
 
 /// What a caller sent and what the engine answered. It never changes once it is written.
@@ -21,7 +21,7 @@
     /// The engine that ran it and so holds the chain in its memory.
     pub upstream: UpstreamId,
     /// Which life of it, where it tells.
-    pub born: Option<BirthMillis>,
+    pub started_at: Option<StartMillis>,
     /// Tokens passed on to the caller. The record settles the turn's reservation by being there.
     pub used: Tokens,
     /// The caller's new input.
@@ -40,7 +40,7 @@
     #[serde(rename = "u")]
     upstream: UpstreamId,
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
-    born: Option<BirthMillis>,
+    started_at: Option<StartMillis>,
     #[serde(rename = "t")]
     used: Tokens,
     #[serde(rename = "i")]
@@ -61,7 +61,7 @@
             previous: self.previous.clone(),
             origin: self.origin.clone(),
             upstream: self.upstream.clone(),
-            born: self.born,
+            started_at: self.started_at,
             used: self.used,
             input: self.input.len(),
         };
@@ -79,7 +79,7 @@
             previous: head.previous,
             origin: head.origin,
             upstream: head.upstream,
-            born: head.born,
+            started_at: head.started_at,
             used: head.used,
             input: body.slice(..head.input),
             output: body.slice(head.input..),
--- a/src/core/upstreams/choice.rs
+++ b/src/core/upstreams/choice.rs
@@ -4,7 +4,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::table::TrackedUpstream;
-use super::{BirthMillis, PromptPart, UpstreamTable};
+use super::{StartMillis, PromptPart, UpstreamTable};
 use crate::core::ids::UpstreamId;
 
 /// Prompt tokens that an engine is taken to read in a millisecond.
@@ -64,7 +64,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct UpstreamChoice {
     pub id: UpstreamId,
-    pub born: Option<BirthMillis>,
+    pub started_at: Option<StartMillis>,
     pub address: Box<str>,
     /// What the choice is expected to cost, in milliseconds.
     pub cost_ms: f64,
@@ -93,7 +93,7 @@
         };
         Some(UpstreamChoice {
             id: known.entry.id.clone(),
-            born: known.entry.born,
+            started_at: known.entry.started_at,
             address: known.entry.address.clone(),
             cost_ms,
             candidates,
--- a/src/core/upstreams/mod.rs
+++ b/src/core/upstreams/mod.rs
@@ -20,7 +20,7 @@
 pub type PartId = Box<str>;
 
 /// When an upstream started, in milliseconds since 1970 by its own clock.
-pub type BirthMillis = u64;
+pub type StartMillis = u64;
 
 /// Whether an upstream takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
@@ -37,7 +37,7 @@
     /// An upstream that starts again may keep it; `born` tells its lives apart.
     pub id: UpstreamId,
     /// Absent where upstreams get a new id at each start.
-    pub born: Option<BirthMillis>,
+    pub started_at: Option<StartMillis>,
     pub service: ServiceName,
     pub address: Box<str>,
     pub zone: Box<str>,
--- a/src/core/upstreams/table.rs
+++ b/src/core/upstreams/table.rs
@@ -7,7 +7,7 @@
 
 use super::index::ServiceIndex;
 use super::{
-    AttemptResult, BirthMillis, PartId, RecentWork, UpstreamEntry, UpstreamHealth, UpstreamState,
+    AttemptResult, StartMillis, PartId, RecentWork, UpstreamEntry, UpstreamHealth, UpstreamState,
 };
 use crate::core::ids::UpstreamId;
 use crate::core::routing::ServiceName;
@@ -22,7 +22,7 @@
 
 /// Births remembered of upstreams that are gone; beyond that those of listed ones remain. 10,000 take
 /// some 0.5 MB.
-const MAX_BIRTHS: usize = 10_000;
+const MAX_START_TIMES: usize = 10_000;
 
 /// How long ago an attempt may be for its upstream to be looked at by every choice: connections are
 /// kept for some seconds.
@@ -83,7 +83,7 @@
     /// Running means of what is measured at each service's upstreams, in milliseconds.
     usual: BTreeMap<ServiceName, f64>,
     /// Newest life heard of by id, also of upstreams that are gone.
-    births: BTreeMap<UpstreamId, BirthMillis>,
+    start_times: BTreeMap<UpstreamId, StartMillis>,
     /// Addresses of lives that ended since this was last asked.
     left_addresses: Vec<Box<str>>,
 }
@@ -117,9 +117,9 @@
         if self.begins_life(&entry) {
             self.end_life(&entry.id);
         }
-        if let Some(born) = entry.born {
-            self.births.insert(entry.id.clone(), born);
-            self.trim_births();
+        if let Some(started_at) = entry.started_at {
+            self.start_times.insert(entry.id.clone(), started_at);
+            self.trim_start_times();
         }
         match self.upstreams.get_mut(&entry.id) {
             Some(known) => known.refresh(entry),
@@ -144,17 +144,17 @@
     /// Whether an entry was written by an earlier life than the newest one heard of. A store may
     /// apply a write seconds late: believed, it would send work to an address where nobody is.
     fn is_of_former_life(&self, entry: &UpstreamEntry) -> bool {
-        self.births
+        self.start_times
             .get(&entry.id)
-            .is_some_and(|newest| entry.born.is_none_or(|born| born < *newest))
+            .is_some_and(|newest| entry.started_at.is_none_or(|started_at| started_at < *newest))
     }
 
     /// Whether an entry tells of a life that follows another one under the same id. All that is
     /// believed of the upstream ends with the former: kept, turns would go where no chain is held any
     /// more, and one that had drained would get no work for good.
     fn begins_life(&self, entry: &UpstreamEntry) -> bool {
-        let newest = self.births.get(&entry.id).copied();
-        entry.born > newest && (newest.is_some() || self.upstreams.contains_key(&entry.id))
+        let newest = self.start_times.get(&entry.id).copied();
+        entry.started_at > newest && (newest.is_some() || self.upstreams.contains_key(&entry.id))
     }
 
     /// Addresses of upstreams that have started anew since this was last asked: connections that
@@ -163,16 +163,16 @@
         std::mem::take(&mut self.left_addresses)
     }
 
-    fn trim_births(&mut self) {
-        if self.births.len() > MAX_BIRTHS {
+    fn trim_start_times(&mut self) {
+        if self.start_times.len() > MAX_START_TIMES {
             let listed = &self.upstreams;
-            self.births.retain(|id, _| listed.contains_key(id));
+            self.start_times.retain(|id, _| listed.contains_key(id));
         }
     }
 
     /// Whether an upstream still lives that had this birth.
-    pub fn lives(&self, id: &str, born: Option<BirthMillis>) -> bool {
-        self.upstreams.get(id).is_some_and(|known| known.entry.born == born)
+    pub fn lives(&self, id: &str, started_at: Option<StartMillis>) -> bool {
+        self.upstreams.get(id).is_some_and(|known| known.entry.started_at == started_at)
     }
 
     /// An entry that vanishes in or right after an outage of the store may only have lapsed, with
--- a/src/gateway/attempt/mod.rs
+++ b/src/gateway/attempt/mod.rs
@@ -123,7 +123,7 @@
         }
         let upstreams = self.news.upstreams.borrow();
         let engines = log.engines.borrow();
-        let living = engines.iter().filter(|life| upstreams.lives(&life.id, life.born)).count();
+        let living = engines.iter().filter(|life| upstreams.lives(&life.id, life.started_at)).count();
         if living < call.route.max_attempts as usize {
             RerunPlace::Elsewhere
         } else if call.route.is_resumable && log.reruns.get() < MAX_RERUNS {
--- a/src/gateway/attempt/tried.rs
+++ b/src/gateway/attempt/tried.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::core::ids::UpstreamId;
-use crate::core::upstreams::{BirthMillis, UpstreamChoice};
+use crate::core::upstreams::{StartMillis, UpstreamChoice};
 use crate::gateway::events::EventId;
 
 /// What has been tried for a request.
@@ -36,12 +36,12 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct UpstreamLife {
     pub(super) id: UpstreamId,
-    pub(super) born: Option<BirthMillis>,
+    pub(super) started_at: Option<StartMillis>,
 }
 
 impl UpstreamLife {
     fn of(choice: &UpstreamChoice) -> Self {
-        Self { id: choice.id.clone(), born: choice.born }
+        Self { id: choice.id.clone(), started_at: choice.started_at }
     }
 }
 
--- a/src/gateway/call/turn.rs
+++ b/src/gateway/call/turn.rs
@@ -133,7 +133,7 @@
     /// The engine that holds the chain, unless it has started anew since.
     fn chain_holder(&self, chain: &TurnChain) -> Option<UpstreamId> {
         let last = chain.turns.last()?;
-        let lives = self.news.upstreams.borrow().lives(&last.upstream, last.born);
+        let lives = self.news.upstreams.borrow().lives(&last.upstream, last.started_at);
         lives.then(|| last.upstream.clone())
     }
 
@@ -274,7 +274,7 @@
         self.reservation.note_holder(LineHolder {
             line: line.cloned(),
             upstream: choice.id.clone(),
-            born: choice.born,
+            born: choice.started_at,
         });
     }
 
@@ -299,7 +299,7 @@
             previous: self.previous.clone(),
             origin: self.origin.clone(),
             upstream: choice.id.clone(),
-            born: choice.born,
+            started_at: choice.started_at,
             used: self.reservation.used(),
             input: self.input.clone(),
             output: events.into_output(),
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -299,10 +299,10 @@
 #[case("-1", None)]
 #[case("null", None)]
 #[case("\"1700000000000\"", None)]
-fn a_birth_is_a_whole_number(#[case] born: &str, #[case] expected: Option<Option<u64>>) {
-    let text = ENTRY.replace("1700000000000", born);
+fn a_start_time_is_a_whole_number(#[case] started_at: &str, #[case] expected: Option<Option<u64>>) {
+    let text = ENTRY.replace("1700000000000", started_at);
     let decoded = PlatformDialect.upstream_entry(&row("i-1", Some(&text)));
-    assert_eq!(decoded.ok().map(|entry| entry.born), expected);
+    assert_eq!(decoded.ok().map(|entry| entry.started_at), expected);
 }
 
 proptest::proptest! {
@@ -330,7 +330,8 @@
         proptest::prop_assert_eq!(fields["zone"].as_str(), Some(&*entry.zone));
         proptest::prop_assert_eq!(fields["slots"].as_u64(), Some(entry.slots.into()));
         proptest::prop_assert_eq!(fields["state"].as_str(), Some(&*entry.state.to_string()));
-        proptest::prop_assert_eq!(fields.get("born").map(|born| born.as_u64()), entry.born.map(Some));
+        let started_at = entry.started_at.map(Some);
+        proptest::prop_assert_eq!(fields.get("born").map(|born| born.as_u64()), started_at);
         for field in ["address", "version", "sequence", "cold-left-ms"] {
             proptest::prop_assert!(!fields[field].is_null(), "{field} is missing");
         }
--- a/tests/upstream_choice.rs
+++ b/tests/upstream_choice.rs
@@ -11,7 +11,7 @@
 fn entry(id: &str, zone: &str, state: UpstreamState) -> UpstreamEntry {
     UpstreamEntry {
         id: id.into(),
-        born: None,
+        started_at: None,
         service: "llm".into(),
         address: format!("{id}:1").into(),
         zone: zone.into(),
@@ -181,8 +181,8 @@
     assert_eq!(table.aside(Instant::now()), 0);
 }
 
-fn life(id: &str, born: u64, state: UpstreamState) -> ListNews {
-    ListNews::Listed(UpstreamEntry { born: Some(born), ..entry(id, "near", state) })
+fn life(id: &str, started_at: u64, state: UpstreamState) -> ListNews {
+    ListNews::Listed(UpstreamEntry { started_at: Some(started_at), ..entry(id, "near", state) })
 }
 
 /// An engine drains, ends and starts again under its id. Its new life holds nothing and has failed
@@ -203,7 +203,7 @@
     let tried = ["b".into()];
     let fresh = |table: &UpstreamTable| {
         let request = ChoiceRequest { parts: &parts, ..request(&tried, None) };
-        table.choose(&request).map(|choice| (choice.born, choice.running, choice.prefill_ms))
+        table.choose(&request).map(|choice| (choice.started_at, choice.running, choice.prefill_ms))
     };
     assert_eq!(fresh(&table), None, "it drains");
     advance(Duration::from_secs(1)).await;
@@ -224,9 +224,9 @@
 #[case(Some(1_000))]
 #[case(None)]
 #[tokio::test(start_paused = true)]
-async fn a_former_life_never_returns(#[case] born: Option<u64>) {
+async fn a_former_life_never_returns(#[case] started_at: Option<u64>) {
     let mut table = UpstreamTable::default();
-    let former = UpstreamEntry { born, ..entry("a", "far", UpstreamState::Draining) };
+    let former = UpstreamEntry { started_at, ..entry("a", "far", UpstreamState::Draining) };
     table.apply(life("a", 2_000, UpstreamState::Ready), Instant::now());
     assert!(!table.apply(ListNews::Listed(former.clone()), Instant::now()));
     assert_eq!(chosen(&table, &request(&[], None)).as_deref(), Some("a"));
