--- a/src/core/upstreams/table.rs
+++ b/src/core/upstreams/table.rs
@@ -85,7 +85,7 @@
     /// Newest life heard of by id, also of upstreams that are gone.
     start_times: BTreeMap<UpstreamId, StartMillis>,
     /// Addresses of lives that ended since this was last asked.
-    left_addresses: Vec<Box<str>>,
+    stale_addresses: Vec<Box<str>>,
 }
 
 impl UpstreamTable {
@@ -111,11 +111,11 @@
     }
 
     fn list(&mut self, entry: UpstreamEntry, now: Instant) -> bool {
-        if self.is_of_former_life(&entry) {
+        if self.is_previous_incarnation(&entry) {
             return false;
         }
-        if self.begins_life(&entry) {
-            self.end_life(&entry.id);
+        if self.starts_incarnation(&entry) {
+            self.end_incarnation(&entry.id);
         }
         if let Some(started_at) = entry.started_at {
             self.start_times.insert(entry.id.clone(), started_at);
@@ -133,17 +133,17 @@
     }
 
     /// Ends all that is believed of an upstream.
-    fn end_life(&mut self, id: &str) {
+    fn end_incarnation(&mut self, id: &str) {
         for holders in self.resident.values_mut() {
             holders.remove(id);
         }
         let former = self.forget(id);
-        self.left_addresses.extend(former.map(|known| known.entry.address));
+        self.stale_addresses.extend(former.map(|known| known.entry.address));
     }
 
     /// Whether an entry was written by an earlier life than the newest one heard of. A store may
     /// apply a write seconds late: believed, it would send work to an address where nobody is.
-    fn is_of_former_life(&self, entry: &UpstreamEntry) -> bool {
+    fn is_previous_incarnation(&self, entry: &UpstreamEntry) -> bool {
         self.start_times
             .get(&entry.id)
             .is_some_and(|newest| entry.started_at.is_none_or(|started_at| started_at < *newest))
@@ -152,15 +152,15 @@
     /// Whether an entry tells of a life that follows another one under the same id. All that is
     /// believed of the upstream ends with the former: kept, turns would go where no chain is held any
     /// more, and one that had drained would get no work for good.
-    fn begins_life(&self, entry: &UpstreamEntry) -> bool {
+    fn starts_incarnation(&self, entry: &UpstreamEntry) -> bool {
         let newest = self.start_times.get(&entry.id).copied();
         entry.started_at > newest && (newest.is_some() || self.upstreams.contains_key(&entry.id))
     }
 
     /// Addresses of upstreams that have started anew since this was last asked: connections that
     /// are kept there lead to nobody.
-    pub fn take_left_addresses(&mut self) -> Vec<Box<str>> {
-        std::mem::take(&mut self.left_addresses)
+    pub fn take_stale_addresses(&mut self) -> Vec<Box<str>> {
+        std::mem::take(&mut self.stale_addresses)
     }
 
     fn trim_start_times(&mut self) {
@@ -171,7 +171,7 @@
     }
 
     /// Whether an upstream still lives that had this birth.
-    pub fn lives(&self, id: &str, started_at: Option<StartMillis>) -> bool {
+    pub fn has_incarnation(&self, id: &str, started_at: Option<StartMillis>) -> bool {
         self.upstreams.get(id).is_some_and(|known| known.entry.started_at == started_at)
     }
 
--- a/src/gateway/attempt/tried.rs
+++ b/src/gateway/attempt/tried.rs
@@ -23,7 +23,7 @@
     /// Whether an attempt is under way whose upstream may be running the request.
     pub(crate) exposed: Cell<bool>,
     /// Upstreams that have run the request, by their lives.
-    pub(super) engines: RefCell<Vec<UpstreamLife>>,
+    pub(super) engines: RefCell<Vec<UpstreamIncarnation>>,
     /// Upstreams that took no connection.
     pub(super) unreached: Cell<u32>,
     /// Times it was sent again to the upstream that broke it off.
@@ -34,12 +34,12 @@
 
 /// One life of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct UpstreamLife {
+pub(super) struct UpstreamIncarnation {
     pub(super) id: UpstreamId,
     pub(super) started_at: Option<StartMillis>,
 }
 
-impl UpstreamLife {
+impl UpstreamIncarnation {
     fn of(choice: &UpstreamChoice) -> Self {
         Self { id: choice.id.clone(), started_at: choice.started_at }
     }
@@ -53,16 +53,16 @@
 
     pub(super) fn note_run(&self, choice: &UpstreamChoice) {
         self.runs.set(self.runs.get() + 1);
-        let life = UpstreamLife::of(choice);
+        let incarnation = UpstreamIncarnation::of(choice);
         let mut engines = self.engines.borrow_mut();
-        if !engines.contains(&life) {
-            engines.push(life);
+        if !engines.contains(&incarnation) {
+            engines.push(incarnation);
         }
     }
 
     /// Notes that an upstream cannot be reached: what it ran has ended with it.
     pub(super) fn note_gone(&self, choice: &UpstreamChoice) {
-        let life = UpstreamLife::of(choice);
-        self.engines.borrow_mut().retain(|known| *known != life);
+        let incarnation = UpstreamIncarnation::of(choice);
+        self.engines.borrow_mut().retain(|known| *known != incarnation);
     }
 }
--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -208,7 +208,7 @@
         let (upstream, status) = (choice.id.clone(), head.status);
         guard.record(AttemptResult::Answered);
         // What a former life has read is in nobody's memory.
-        if self.news.upstreams.borrow().lives(&upstream, choice.started_at) {
+        if self.news.upstreams.borrow().has_incarnation(&upstream, choice.started_at) {
             self.note_resident(call, &upstream);
             self.note_pace(&upstream, first_at, events.events() - before);
         }
--- a/src/gateway/call/turn.rs
+++ b/src/gateway/call/turn.rs
@@ -108,7 +108,7 @@
             }
             TurnScope::Tokens => {
                 let upstreams = self.news.upstreams.borrow();
-                let holder = holder.filter(|held| upstreams.lives(&held.upstream, held.born));
+                let holder = holder.filter(|held| upstreams.has_incarnation(&held.upstream, held.born));
                 call.holder = holder.map(|held| held.upstream);
             }
         }
@@ -133,8 +133,8 @@
     /// The engine that holds the chain, unless it has started anew since.
     fn chain_holder(&self, chain: &TurnChain) -> Option<UpstreamId> {
         let last = chain.turns.last()?;
-        let lives = self.news.upstreams.borrow().lives(&last.upstream, last.started_at);
-        lives.then(|| last.upstream.clone())
+        let is_current = self.news.upstreams.borrow().has_incarnation(&last.upstream, last.started_at);
+        is_current.then(|| last.upstream.clone())
     }
 
     fn turn_claim(
--- a/src/gateway/news/mod.rs
+++ b/src/gateway/news/mod.rs
@@ -286,7 +286,7 @@
     }
 
     fn forget_left(&self, upstreams: &mut UpstreamTable) {
-        for address in upstreams.take_left_addresses() {
+        for address in upstreams.take_stale_addresses() {
             self.pool.forget(&address);
         }
     }
--- a/tests/gateway_news.rs
+++ b/tests/gateway_news.rs
@@ -111,14 +111,14 @@
     let deployment = Deployment::start(1, 0).await;
     let (first, second) = (StandinEngine::default(), StandinEngine::default());
     let addresses = [first.start("127.0.0.1").await, second.start("127.0.0.1").await];
-    deployment.list_life("e", &addresses[0], "ready", 1_000);
+    deployment.list_incarnation("e", &addresses[0], "ready", 1_000);
     let book = async |id: &str| deployment.gateway().call(&call("book", id)).await.status();
     wait_until("it serves", async || book("b1").await == 200).await;
-    deployment.list_life("e", &addresses[0], "draining", 1_000);
+    deployment.list_incarnation("e", &addresses[0], "draining", 1_000);
     wait_until("it drains", async || book("b2").await == 503).await;
-    deployment.list_life("e", &addresses[1], "ready", 2_000);
+    deployment.list_incarnation("e", &addresses[1], "ready", 2_000);
     wait_until("its new life serves", async || book("b3").await == 200).await;
-    deployment.list_life("e", &addresses[0], "ready", 1_000);
+    deployment.list_incarnation("e", &addresses[0], "ready", 1_000);
     tokio::time::sleep(Duration::from_secs(1)).await;
     let before = first.seen();
     assert_eq!(book("b4").await, 200);
--- a/tests/platform_standin/mod.rs
+++ b/tests/platform_standin/mod.rs
@@ -259,7 +259,7 @@
     }
 
     /// Lists a life of an engine that tells when it started.
-    pub fn list_life(&self, id: &str, address: &str, state: &str, started_at: u64) {
+    pub fn list_incarnation(&self, id: &str, address: &str, state: &str, started_at: u64) {
         let mut entry = engine_entry("zone-a", address, state);
         entry["born"] = started_at.into();
         self.store.put("servers", id, &entry);
--- a/tests/upstream_choice.rs
+++ b/tests/upstream_choice.rs
@@ -181,7 +181,7 @@
     assert_eq!(table.aside(Instant::now()), 0);
 }
 
-fn life(id: &str, started_at: u64, state: UpstreamState) -> ListNews {
+fn incarnation(id: &str, started_at: u64, state: UpstreamState) -> ListNews {
     ListNews::Listed(UpstreamEntry { started_at: Some(started_at), ..entry(id, "near", state) })
 }
 
@@ -191,7 +191,7 @@
 async fn a_new_life_starts_from_nothing() {
     let mut table = table(&[("b", "near")]);
     let parts = long_prompt();
-    table.apply(life("a", 1_000, UpstreamState::Ready), Instant::now());
+    table.apply(incarnation("a", 1_000, UpstreamState::Ready), Instant::now());
     for part in &parts {
         table.note_resident(&"a".into(), &part.part);
     }
@@ -199,7 +199,7 @@
     table.started("a", 0.0, former);
     table.ended("a", former, AttemptResult::Unreachable, Instant::now());
     table.started("a", 0.0, former);
-    table.apply(life("a", 1_000, UpstreamState::Draining), Instant::now());
+    table.apply(incarnation("a", 1_000, UpstreamState::Draining), Instant::now());
     let tried = ["b".into()];
     let fresh = |table: &UpstreamTable| {
         let request = ChoiceRequest { parts: &parts, ..request(&tried, None) };
@@ -207,15 +207,15 @@
     };
     assert_eq!(fresh(&table), None, "it drains");
     advance(Duration::from_secs(1)).await;
-    assert!(table.apply(life("a", 2_000, UpstreamState::Ready), Instant::now()));
-    assert_eq!(table.take_left_addresses(), ["a:1".into()]);
+    assert!(table.apply(incarnation("a", 2_000, UpstreamState::Ready), Instant::now()));
+    assert_eq!(table.take_stale_addresses(), ["a:1".into()]);
     let unread = parts.iter().map(|part| part.tokens).sum::<u64>() as f64 / 32.0;
     assert_eq!(fresh(&table), Some((Some(2_000), 0, unread)));
     assert_eq!(table.aside(Instant::now()), 0);
     // What is still under way at the former life says nothing about the new one.
     table.ended("a", former, AttemptResult::Unreachable, Instant::now());
     assert_eq!(table.aside(Instant::now()), 0);
-    assert!(table.lives("a", Some(2_000)) && !table.lives("a", Some(1_000)));
+    assert!(table.has_incarnation("a", Some(2_000)) && !table.has_incarnation("a", Some(1_000)));
 }
 
 /// The store applies a beat of an engine's former life seconds late, after its new one was listed,
@@ -227,14 +227,14 @@
 async fn a_former_life_never_returns(#[case] started_at: Option<u64>) {
     let mut table = UpstreamTable::default();
     let former = UpstreamEntry { started_at, ..entry("a", "far", UpstreamState::Draining) };
-    table.apply(life("a", 2_000, UpstreamState::Ready), Instant::now());
+    table.apply(incarnation("a", 2_000, UpstreamState::Ready), Instant::now());
     assert!(!table.apply(ListNews::Listed(former.clone()), Instant::now()));
     assert_eq!(chosen(&table, &request(&[], None)).as_deref(), Some("a"));
     table.apply(ListNews::Removed("a".into()), Instant::now());
     table.apply(ListNews::Listed(former), Instant::now());
     assert!(table.is_empty());
     // The same life may only have lapsed.
-    table.apply(life("a", 2_000, UpstreamState::Ready), Instant::now());
+    table.apply(incarnation("a", 2_000, UpstreamState::Ready), Instant::now());
     assert_eq!(chosen(&table, &request(&[], None)).as_deref(), Some("a"));
 }
 
