--- a/src/bench/cores.rs
+++ b/src/bench/cores.rs
@@ -296,7 +296,7 @@
         let request = ChoiceRequest {
             service: "service",
             zone: "zone-1",
-            parts: &[],
+            blocks: &[],
             holder: None,
             affinity: None,
             tried: &[],
--- a/src/core/upstreams/choice.rs
+++ b/src/core/upstreams/choice.rs
@@ -4,7 +4,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::table::TrackedUpstream;
-use super::{StartMillis, PromptPart, UpstreamTable};
+use super::{StartMillis, PromptBlock, UpstreamTable};
 use crate::core::ids::UpstreamId;
 
 /// Prompt tokens that an engine is taken to read in a millisecond.
@@ -46,7 +46,7 @@
     pub service: &'a str,
     /// The zone of this instance.
     pub zone: &'a str,
-    pub parts: &'a [PromptPart],
+    pub blocks: &'a [PromptBlock],
     /// The engine that holds what the request continues from.
     pub holder: Option<&'a UpstreamId>,
     /// What requests share that go best to the same upstream.
@@ -132,8 +132,8 @@
             return ranked;
         }
         // The last parts are a program's own, so those that hold them hold most of the prompt.
-        let parts = request.parts.iter().rev();
-        let holders = parts.filter_map(|part| self.resident.get(&part.part)).flatten();
+        let blocks = request.blocks.iter().rev();
+        let holders = blocks.filter_map(|block| self.resident.get(&block.id)).flatten();
         let known = holders.take(MAX_HOLDERS).chain(self.recent.keys());
         let mut others: Vec<&UpstreamId> = known.chain(request.holder).collect();
         others.sort_unstable();
@@ -185,13 +185,13 @@
     /// holds all but the new input.
     fn prefill_ms(&self, known: &TrackedUpstream, request: &ChoiceRequest<'_>) -> f64 {
         if request.holder == Some(&known.entry.id) {
-            let last = request.parts.last().map_or(0, |part| part.tokens);
+            let last = request.blocks.last().map_or(0, |block| block.tokens);
             return last.min(NEW_INPUT_TOKENS) as f64 / PREFILL_TOKENS_PER_MS;
         }
-        let held = request.parts.iter().take_while(|part| {
-            self.resident.get(&part.part).is_some_and(|ids| ids.contains(&known.entry.id))
+        let held = request.blocks.iter().take_while(|block| {
+            self.resident.get(&block.id).is_some_and(|ids| ids.contains(&known.entry.id))
         });
-        let missing = request.parts.iter().skip(held.count()).map(|part| part.tokens);
+        let missing = request.blocks.iter().skip(held.count()).map(|block| block.tokens);
         missing.sum::<u64>() as f64 / PREFILL_TOKENS_PER_MS
     }
 }
--- a/src/core/upstreams/mod.rs
+++ b/src/core/upstreams/mod.rs
@@ -17,7 +17,7 @@
 pub use table::{ListNews, UpstreamTable};
 
 /// Name of a part of a prompt; requests whose prompts begin alike name the same parts.
-pub type PartId = Box<str>;
+pub type BlockId = Box<str>;
 
 /// When an upstream started, in milliseconds since 1970 by its own clock.
 pub type StartMillis = u64;
@@ -50,7 +50,7 @@
 
 /// One part of a prompt, in the prompt's order.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PromptPart {
-    pub part: PartId,
+pub struct PromptBlock {
+    pub id: BlockId,
     pub tokens: Tokens,
 }
--- a/src/core/upstreams/table.rs
+++ b/src/core/upstreams/table.rs
@@ -7,7 +7,7 @@
 
 use super::index::ServiceIndex;
 use super::{
-    AttemptResult, StartMillis, PartId, RecentWork, UpstreamEntry, UpstreamHealth, UpstreamState,
+    AttemptResult, StartMillis, BlockId, RecentWork, UpstreamEntry, UpstreamHealth, UpstreamState,
 };
 use crate::core::ids::UpstreamId;
 use crate::core::routing::ServiceName;
@@ -78,8 +78,8 @@
     lost_since: Option<Instant>,
     /// When it became readable again.
     back_since: Option<Instant>,
-    pub(super) resident: HashMap<PartId, BTreeSet<UpstreamId>>,
-    resident_order: VecDeque<PartId>,
+    pub(super) resident: HashMap<BlockId, BTreeSet<UpstreamId>>,
+    resident_order: VecDeque<BlockId>,
     /// Running means of what is measured at each service's upstreams, in milliseconds.
     usual: BTreeMap<ServiceName, f64>,
     /// Newest life heard of by id, also of upstreams that are gone.
@@ -309,8 +309,8 @@
     }
 
     /// Notes that an upstream has read a part of a prompt.
-    pub fn note_resident(&mut self, id: &UpstreamId, part: &PartId) {
-        if let Some(holders) = self.resident.get_mut(part) {
+    pub fn note_resident(&mut self, id: &UpstreamId, block: &BlockId) {
+        if let Some(holders) = self.resident.get_mut(block) {
             holders.insert(id.clone());
             return;
         }
@@ -319,7 +319,7 @@
         {
             self.resident.remove(&oldest);
         }
-        self.resident_order.push_back(part.clone());
-        self.resident.insert(part.clone(), BTreeSet::from([id.clone()]));
+        self.resident_order.push_back(block.clone());
+        self.resident.insert(block.clone(), BTreeSet::from([id.clone()]));
     }
 }
--- a/src/gateway/attempt/mod.rs
+++ b/src/gateway/attempt/mod.rs
@@ -203,7 +203,7 @@
         let request = ChoiceRequest {
             service: &call.service,
             zone: &self.settings.zone,
-            parts: &call.head.parts,
+            blocks: &call.head.parts,
             holder: call.holder.as_ref(),
             affinity,
             tried,
--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -257,8 +257,8 @@
             return;
         }
         let mut upstreams = self.news.upstreams.borrow_mut();
-        for part in &call.head.parts {
-            upstreams.note_resident(upstream, &part.part);
+        for block in &call.head.parts {
+            upstreams.note_resident(upstream, &block.id);
         }
     }
 }
--- a/src/gateway/dialect.rs
+++ b/src/gateway/dialect.rs
@@ -13,7 +13,7 @@
 use crate::core::ids::{RequestId, Tokens, UpstreamId, WorkspaceId};
 use crate::core::routing::RouteTable;
 use crate::core::turns::{LineName, ProgramName, TurnId};
-use crate::core::upstreams::{PromptPart, UpstreamEntry};
+use crate::core::upstreams::{PromptBlock, UpstreamEntry};
 use crate::core::workspaces::ApiKey;
 use crate::node::platform::StoreError;
 
@@ -39,7 +39,7 @@
     pub prompt_tokens: Option<Tokens>,
     /// The turn this one continues from.
     pub previous: Option<TurnId>,
-    pub parts: Vec<PromptPart>,
+    pub parts: Vec<PromptBlock>,
     /// By which the caller shows its workspace.
     pub key: Option<ApiKey>,
 }
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -76,12 +76,12 @@
                 "r0",
             ),
             parts: [
-                PromptPart {
-                    part: "5c1e",
+                PromptBlock {
+                    id: "5c1e",
                     tokens: 800,
                 },
-                PromptPart {
-                    part: "91bd",
+                PromptBlock {
+                    id: "91bd",
                     tokens: 410,
                 },
             ],
--- a/tests/upstream_choice.rs
+++ b/tests/upstream_choice.rs
@@ -4,7 +4,7 @@
 
 use merlinsaddle::core::ids::UpstreamId;
 use merlinsaddle::core::upstreams::{
-    AttemptResult, ChoiceRequest, ListNews, PromptPart, UpstreamEntry, UpstreamState, UpstreamTable,
+    AttemptResult, ChoiceRequest, ListNews, PromptBlock, UpstreamEntry, UpstreamState, UpstreamTable,
 };
 use tokio::time::{Instant, advance};
 
@@ -34,7 +34,7 @@
     ChoiceRequest {
         service: "llm",
         zone: "near",
-        parts: &[],
+        blocks: &[],
         holder,
         affinity: None,
         tried,
@@ -48,9 +48,9 @@
     table.choose(request).map(|choice| choice.id)
 }
 
-fn long_prompt() -> [PromptPart; 2] {
-    let part = |part: &str, tokens| PromptPart { part: part.into(), tokens };
-    [part("shared", 2_560), part("own", 1_000)]
+fn long_prompt() -> [PromptBlock; 2] {
+    let block = |id: &str, tokens| PromptBlock { id: id.into(), tokens };
+    [block("shared", 2_560), block("own", 1_000)]
 }
 
 #[tokio::test(start_paused = true)]
@@ -68,8 +68,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_chain_stays_where_it_is_until_that_costs_more() {
     let mut table = table(&[("a", "near"), ("b", "near")]);
-    let (holder, parts) = ("a".into(), long_prompt());
-    let turn = |now| ChoiceRequest { parts: &parts, now, ..request(&[], Some(&holder)) };
+    let (holder, blocks) = ("a".into(), long_prompt());
+    let turn = |now| ChoiceRequest { blocks: &blocks, now, ..request(&[], Some(&holder)) };
     for _ in 0..5 {
         table.started("a", 10.0, Instant::now());
     }
@@ -158,9 +158,9 @@
 #[tokio::test(start_paused = true)]
 async fn a_silent_upstream_is_avoided() {
     let mut table = table(&[("a", "near"), ("b", "near")]);
-    let (holder, parts) = ("a".into(), long_prompt());
+    let (holder, blocks) = ("a".into(), long_prompt());
     let continued = |table: &UpstreamTable| {
-        let request = ChoiceRequest { parts: &parts, ..request(&[], Some(&holder)) };
+        let request = ChoiceRequest { blocks: &blocks, ..request(&[], Some(&holder)) };
         chosen(table, &request)
     };
     let streaming = Instant::now();
@@ -190,10 +190,10 @@
 #[tokio::test(start_paused = true)]
 async fn a_new_life_starts_from_nothing() {
     let mut table = table(&[("b", "near")]);
-    let parts = long_prompt();
+    let blocks = long_prompt();
     table.apply(incarnation("a", 1_000, UpstreamState::Ready), Instant::now());
-    for part in &parts {
-        table.note_resident(&"a".into(), &part.part);
+    for block in &blocks {
+        table.note_resident(&"a".into(), &block.id);
     }
     let former = Instant::now();
     table.started("a", 0.0, former);
@@ -202,14 +202,14 @@
     table.apply(incarnation("a", 1_000, UpstreamState::Draining), Instant::now());
     let tried = ["b".into()];
     let fresh = |table: &UpstreamTable| {
-        let request = ChoiceRequest { parts: &parts, ..request(&tried, None) };
+        let request = ChoiceRequest { blocks: &blocks, ..request(&tried, None) };
         table.choose(&request).map(|choice| (choice.started_at, choice.running, choice.prefill_ms))
     };
     assert_eq!(fresh(&table), None, "it drains");
     advance(Duration::from_secs(1)).await;
     assert!(table.apply(incarnation("a", 2_000, UpstreamState::Ready), Instant::now()));
     assert_eq!(table.take_stale_addresses(), ["a:1".into()]);
-    let unread = parts.iter().map(|part| part.tokens).sum::<u64>() as f64 / 32.0;
+    let unread = blocks.iter().map(|block| block.tokens).sum::<u64>() as f64 / 32.0;
     assert_eq!(fresh(&table), Some((Some(2_000), 0, unread)));
     assert_eq!(table.aside(Instant::now()), 0);
     // What is still under way at the former life says nothing about the new one.
@@ -244,11 +244,11 @@
     let names: Vec<String> = (0..3_000).map(|number| format!("e{number}")).collect();
     let entries: Vec<_> = names.iter().map(|name| (&**name, "near")).collect();
     let table = table(&entries);
-    let parts = long_prompt();
+    let blocks = long_prompt();
     for holder in ["e17", "e1500", "e2999"] {
         let id = holder.into();
         for salt in 0..50 {
-            let turn = ChoiceRequest { parts: &parts, salt, ..request(&[], Some(&id)) };
+            let turn = ChoiceRequest { blocks: &blocks, salt, ..request(&[], Some(&id)) };
             assert_eq!(chosen(&table, &turn).as_deref(), Some(holder));
         }
     }
