--- a/src/bench/cores.rs
+++ b/src/bench/cores.rs
@@ -18,7 +18,7 @@
 use crate::core::timeline::CausalStamp;
 use crate::core::turns::{CoordinatorSpan, coordinator};
 use crate::core::upstreams::{
-    ChoiceRequest, ListNews, UpstreamEntry, UpstreamState, UpstreamTable,
+    ChoiceRequest, UpstreamUpdate, UpstreamEntry, UpstreamState, UpstreamTable,
 };
 
 /// One operation on a state of one size.
@@ -289,7 +289,7 @@
             state: UpstreamState::Ready,
             warming: Duration::ZERO,
         };
-        table.apply(ListNews::Listed(entry), now);
+        table.apply(UpstreamUpdate::Listed(entry), now);
     }
     let started = Instant::now();
     for salt in 0..DECISIONS {
--- a/src/core/upstreams/mod.rs
+++ b/src/core/upstreams/mod.rs
@@ -14,7 +14,7 @@
 
 pub use choice::{ChoiceRequest, UpstreamChoice};
 pub use health::{AttemptResult, RecentWork, UpstreamHealth};
-pub use table::{ListNews, UpstreamTable};
+pub use table::{UpstreamUpdate, UpstreamTable};
 
 /// Name of a part of a prompt; requests whose prompts begin alike name the same parts.
 pub type BlockId = Box<str>;
--- a/src/core/upstreams/table.rs
+++ b/src/core/upstreams/table.rs
@@ -32,7 +32,7 @@
 
 /// One line of news from the store's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ListNews {
+pub enum UpstreamUpdate {
     Listed(UpstreamEntry),
     Removed(UpstreamId),
 }
@@ -90,10 +90,10 @@
 
 impl UpstreamTable {
     /// Takes in news; true if they changed what may be chosen.
-    pub fn apply(&mut self, news: ListNews, now: Instant) -> bool {
-        match news {
-            ListNews::Listed(entry) => self.list(entry, now),
-            ListNews::Removed(id) => self.remove(&id, now),
+    pub fn apply(&mut self, update: UpstreamUpdate, now: Instant) -> bool {
+        match update {
+            UpstreamUpdate::Listed(entry) => self.list(entry, now),
+            UpstreamUpdate::Removed(id) => self.remove(&id, now),
         }
     }
 
@@ -309,7 +309,7 @@
     }
 
     /// Notes that an upstream has read a part of a prompt.
-    pub fn note_resident(&mut self, id: &UpstreamId, block: &BlockId) {
+    pub fn record_resident(&mut self, id: &UpstreamId, block: &BlockId) {
         if let Some(holders) = self.resident.get_mut(block) {
             holders.insert(id.clone());
             return;
--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -258,7 +258,7 @@
         }
         let mut upstreams = self.news.upstreams.borrow_mut();
         for block in &call.head.parts {
-            upstreams.note_resident(upstream, &block.id);
+            upstreams.record_resident(upstream, &block.id);
         }
     }
 }
--- a/src/gateway/news/mod.rs
+++ b/src/gateway/news/mod.rs
@@ -28,7 +28,7 @@
 use crate::core::ids::UpstreamId;
 use crate::core::quotas::QuotaTerms;
 use crate::core::routing::{RouteTable, TableNews, TableVersion, TableView};
-use crate::core::upstreams::{ListNews, UpstreamEntry, UpstreamTable};
+use crate::core::upstreams::{UpstreamUpdate, UpstreamEntry, UpstreamTable};
 use crate::util::pause::ClockMark;
 
 pub(crate) use self::reader::{NEWS_PATH, NewsReaders};
@@ -234,13 +234,13 @@
     fn change_upstream(&self, upstreams: &mut UpstreamTable, row: StoredRow, now: Instant) {
         let id = row.key.key.clone();
         let entry = self.read_entry(&row);
-        let news = match &entry {
-            Some(entry) => ListNews::Listed(entry.clone()),
-            None => ListNews::Removed(id.clone()),
+        let update = match &entry {
+            Some(entry) => UpstreamUpdate::Listed(entry.clone()),
+            None => UpstreamUpdate::Removed(id.clone()),
         };
         let state =
             entry.as_ref().map_or_else(|| "removed".into(), |entry| entry.state.to_string());
-        if upstreams.apply(news, now) {
+        if upstreams.apply(update, now) {
             log::info!(
                 "event=upstream_changed upstream={id} state={state} version={} led={}",
                 row.version,
--- a/tests/upstream_choice.rs
+++ b/tests/upstream_choice.rs
@@ -4,7 +4,7 @@
 
 use merlinsaddle::core::ids::UpstreamId;
 use merlinsaddle::core::upstreams::{
-    AttemptResult, ChoiceRequest, ListNews, PromptBlock, UpstreamEntry, UpstreamState, UpstreamTable,
+    AttemptResult, ChoiceRequest, UpstreamUpdate, PromptBlock, UpstreamEntry, UpstreamState, UpstreamTable,
 };
 use tokio::time::{Instant, advance};
 
@@ -25,7 +25,7 @@
     let mut table = UpstreamTable::default();
     for (id, zone) in entries {
         let entry = entry(id, zone, UpstreamState::Ready);
-        table.apply(ListNews::Listed(entry), Instant::now());
+        table.apply(UpstreamUpdate::Listed(entry), Instant::now());
     }
     table
 }
@@ -113,8 +113,8 @@
 async fn a_draining_upstream_is_not_revived() {
     let mut table = table(&[("a", "near")]);
     let now = Instant::now();
-    table.apply(ListNews::Listed(entry("a", "near", UpstreamState::Draining)), now);
-    table.apply(ListNews::Listed(entry("a", "near", UpstreamState::Ready)), now);
+    table.apply(UpstreamUpdate::Listed(entry("a", "near", UpstreamState::Draining)), now);
+    table.apply(UpstreamUpdate::Listed(entry("a", "near", UpstreamState::Ready)), now);
     assert_eq!(chosen(&table, &request(&[], None)), None);
     assert!(!table.serves("llm"));
 }
@@ -130,12 +130,12 @@
     advance(Duration::from_secs(2)).await;
     assert!(table.expire(Instant::now()).is_empty());
     let back = entry("a", "near", UpstreamState::Ready);
-    table.apply(ListNews::Listed(back), Instant::now());
+    table.apply(UpstreamUpdate::Listed(back), Instant::now());
     advance(Duration::from_millis(400)).await;
     assert_eq!(table.expire(Instant::now()), ["b".into()]);
     assert_eq!(table.len(), 1);
     // Without an outage a removal counts at once.
-    table.apply(ListNews::Removed("a".into()), Instant::now());
+    table.apply(UpstreamUpdate::Removed("a".into()), Instant::now());
     assert!(table.is_empty());
 }
 
@@ -146,7 +146,7 @@
     let mut table = table(&[("a", "near")]);
     table.store_readable(false, Instant::now());
     table.store_readable(true, Instant::now());
-    table.apply(ListNews::Removed("a".into()), Instant::now());
+    table.apply(UpstreamUpdate::Removed("a".into()), Instant::now());
     assert_eq!(chosen(&table, &request(&[], None)).as_deref(), Some("a"));
     advance(Duration::from_millis(2_400)).await;
     assert_eq!(chosen(&table, &request(&[], None)), None);
@@ -181,8 +181,8 @@
     assert_eq!(table.aside(Instant::now()), 0);
 }
 
-fn incarnation(id: &str, started_at: u64, state: UpstreamState) -> ListNews {
-    ListNews::Listed(UpstreamEntry { started_at: Some(started_at), ..entry(id, "near", state) })
+fn incarnation(id: &str, started_at: u64, state: UpstreamState) -> UpstreamUpdate {
+    UpstreamUpdate::Listed(UpstreamEntry { started_at: Some(started_at), ..entry(id, "near", state) })
 }
 
 /// An engine drains, ends and starts again under its id. Its new life holds nothing and has failed
@@ -193,7 +193,7 @@
     let blocks = long_prompt();
     table.apply(incarnation("a", 1_000, UpstreamState::Ready), Instant::now());
     for block in &blocks {
-        table.note_resident(&"a".into(), &block.id);
+        table.record_resident(&"a".into(), &block.id);
     }
     let former = Instant::now();
     table.started("a", 0.0, former);
@@ -228,10 +228,10 @@
     let mut table = UpstreamTable::default();
     let former = UpstreamEntry { started_at, ..entry("a", "far", UpstreamState::Draining) };
     table.apply(incarnation("a", 2_000, UpstreamState::Ready), Instant::now());
-    assert!(!table.apply(ListNews::Listed(former.clone()), Instant::now()));
+    assert!(!table.apply(UpstreamUpdate::Listed(former.clone()), Instant::now()));
     assert_eq!(chosen(&table, &request(&[], None)).as_deref(), Some("a"));
-    table.apply(ListNews::Removed("a".into()), Instant::now());
-    table.apply(ListNews::Listed(former), Instant::now());
+    table.apply(UpstreamUpdate::Removed("a".into()), Instant::now());
+    table.apply(UpstreamUpdate::Listed(former), Instant::now());
     assert!(table.is_empty());
     // The same life may only have lapsed.
     table.apply(incarnation("a", 2_000, UpstreamState::Ready), Instant::now());
