--- a/src/core/upstreams/choice.rs
+++ b/src/core/upstreams/choice.rs
@@ -34,7 +34,7 @@
 /// usual prompt anew elsewhere, while answers that are only late pass.
 const SILENCE_FACTOR: f64 = 3.0;
 /// What an upstream that failed lately costs: it is taken only where there is no other.
-const ASIDE_COST_MS: f64 = 10_000.0;
+const EJECTED_COST_MS: f64 = 10_000.0;
 /// Usual time of a request apart from its prompt, in milliseconds; a slow upstream multiplies it.
 const WORK_COST_MS: f64 = 300.0;
 /// Slowness that is taken for chance: times of single requests differ by about as much.
@@ -84,7 +84,7 @@
         let near = self.candidates(request, NEAR_RANKS);
         let found = self.cheapest(&near, request);
         // Where all of these have failed, any other may be better.
-        let failed = found.is_none_or(|(cost, _)| cost >= ASIDE_COST_MS);
+        let failed = found.is_none_or(|(cost, _)| cost >= EJECTED_COST_MS);
         let (candidates, (cost_ms, known)) = if failed {
             let all = self.candidates(request, usize::MAX);
             (all.len(), self.cheapest(&all, request)?)
@@ -173,8 +173,8 @@
         if !(request.connected)(&entry.address) {
             cost += CONNECT_COST_MS;
         }
-        if known.health.is_aside(request.now) {
-            cost += ASIDE_COST_MS;
+        if known.health.is_ejected(request.now) {
+            cost += EJECTED_COST_MS;
         }
         cost
     }
--- a/src/core/upstreams/health.rs
+++ b/src/core/upstreams/health.rs
@@ -6,13 +6,13 @@
 
 /// Shortest time an upstream is passed over after a failure: a restart of its process takes
 /// about as long.
-const ASIDE_MIN: Duration = Duration::from_millis(500);
+const MIN_EJECTION: Duration = Duration::from_millis(500);
 /// Longest time it is passed over; then one request may try it again.
-const ASIDE_MAX: Duration = Duration::from_secs(4);
+const MAX_EJECTION: Duration = Duration::from_secs(4);
 /// How long an upstream that was full is passed over: a few of its shortest requests end meanwhile.
-const FULL_ASIDE: Duration = Duration::from_millis(60);
+const FULL_EJECTION: Duration = Duration::from_millis(60);
 /// Broken answers in a row before an upstream is passed over: single ones befall sound upstreams.
-const BROKEN_LIMIT: u32 = 2;
+const BROKEN_THRESHOLD: u32 = 2;
 /// Share of the newest measurement in the running mean: about the last four count.
 const PACE_SHARE: f64 = 0.25;
 /// Time in which what was measured fades to 1/e: an upstream that is passed over for being slow is
@@ -45,7 +45,7 @@
     pub running: u32,
     failures: u32,
     broken: u32,
-    aside_until: Option<Instant>,
+    ejected_until: Option<Instant>,
     pace: Option<(f64, Instant)>,
     /// When the attempts began of which nothing was heard yet.
     silent: Vec<Instant>,
@@ -111,13 +111,13 @@
             AttemptResult::Answered => {
                 self.failures = 0;
                 self.broken = 0;
-                self.aside_until = None;
+                self.ejected_until = None;
             }
-            AttemptResult::Full => self.put_aside(FULL_ASIDE, now),
+            AttemptResult::Full => self.eject(FULL_EJECTION, now),
             AttemptResult::Unreachable => self.fail(now),
             AttemptResult::Broken => {
                 self.broken += 1;
-                if self.broken >= BROKEN_LIMIT {
+                if self.broken >= BROKEN_THRESHOLD {
                     self.fail(now);
                 }
             }
@@ -138,17 +138,17 @@
         1.0 + (pace - 1.0) * (-age).exp()
     }
 
-    pub fn is_aside(&self, now: Instant) -> bool {
-        self.aside_until.is_some_and(|until| now < until)
+    pub fn is_ejected(&self, now: Instant) -> bool {
+        self.ejected_until.is_some_and(|until| now < until)
     }
 
     fn fail(&mut self, now: Instant) {
-        let aside = (ASIDE_MIN * 2u32.saturating_pow(self.failures.min(8))).min(ASIDE_MAX);
+        let ejection = (MIN_EJECTION * 2u32.saturating_pow(self.failures.min(8))).min(MAX_EJECTION);
         self.failures += 1;
-        self.put_aside(aside, now);
+        self.eject(ejection, now);
     }
 
-    fn put_aside(&mut self, aside: Duration, now: Instant) {
-        self.aside_until = self.aside_until.max(Some(now + aside));
+    fn eject(&mut self, ejection: Duration, now: Instant) {
+        self.ejected_until = self.ejected_until.max(Some(now + ejection));
     }
 }
--- a/src/core/upstreams/table.rs
+++ b/src/core/upstreams/table.rs
@@ -251,8 +251,8 @@
     }
 
     /// Upstreams that are passed over after failures.
-    pub fn aside(&self, now: Instant) -> usize {
-        self.upstreams.values().filter(|known| known.health.is_aside(now)).count()
+    pub fn ejected_count(&self, now: Instant) -> usize {
+        self.upstreams.values().filter(|known| known.health.is_ejected(now)).count()
     }
 
     pub fn is_empty(&self) -> bool {
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -85,7 +85,7 @@
         self.metrics.sample(&GatewaySample {
             members: self.members.alive() as u64,
             upstreams: self.news.upstreams.borrow().len() as u64,
-            upstreams_aside: self.news.upstreams.borrow().aside(Instant::now()) as u64,
+            upstreams_aside: self.news.upstreams.borrow().ejected_count(Instant::now()) as u64,
             routes_version: self.news.routes().map_or(0, |table| table.version),
             routes_age: self.news.routes_age(),
             cached_bytes: self.turns.cached_bytes() as u64,
--- a/tests/upstream_choice.rs
+++ b/tests/upstream_choice.rs
@@ -175,10 +175,10 @@
     advance(Duration::from_millis(400)).await;
     assert_eq!(continued(&table).as_deref(), Some("b"));
     table.ended("a", silent, AttemptResult::Abandoned, Instant::now());
-    assert_eq!(table.aside(Instant::now()), 1);
+    assert_eq!(table.ejected_count(Instant::now()), 1);
     advance(Duration::from_secs(1)).await;
     table.ended("a", streaming, AttemptResult::Abandoned, Instant::now());
-    assert_eq!(table.aside(Instant::now()), 0);
+    assert_eq!(table.ejected_count(Instant::now()), 0);
 }
 
 fn incarnation(id: &str, started_at: u64, state: UpstreamState) -> UpstreamUpdate {
@@ -211,10 +211,10 @@
     assert_eq!(table.take_stale_addresses(), ["a:1".into()]);
     let unread = blocks.iter().map(|block| block.tokens).sum::<u64>() as f64 / 32.0;
     assert_eq!(fresh(&table), Some((Some(2_000), 0, unread)));
-    assert_eq!(table.aside(Instant::now()), 0);
+    assert_eq!(table.ejected_count(Instant::now()), 0);
     // What is still under way at the former life says nothing about the new one.
     table.ended("a", former, AttemptResult::Unreachable, Instant::now());
-    assert_eq!(table.aside(Instant::now()), 0);
+    assert_eq!(table.ejected_count(Instant::now()), 0);
     assert!(table.has_incarnation("a", Some(2_000)) && !table.has_incarnation("a", Some(1_000)));
 }
 
