--- a/src/core/upstreams/choice.rs
+++ b/src/core/upstreams/choice.rs
@@ -38,7 +38,7 @@
 /// Usual time of a request apart from its prompt, in milliseconds; a slow upstream multiplies it.
 const WORK_COST_MS: f64 = 300.0;
 /// Slowness that is taken for chance: times of single requests differ by about as much.
-const PACE_TOLERANCE: f64 = 1.3;
+const LATENCY_RATIO_TOLERANCE: f64 = 1.3;
 
 /// What a request asks of an upstream.
 #[derive(Clone, Copy)]
@@ -162,7 +162,7 @@
         cost += f64::from(known.health.running) * RUNNING_COST_MS;
         cost += known.work.at(request.now);
         cost += self.prefill_ms(known, request) * MOVE_FACTOR;
-        let slowness = known.health.pace(request.now) - PACE_TOLERANCE;
+        let slowness = known.health.latency_ratio(request.now) - LATENCY_RATIO_TOLERANCE;
         cost += slowness.max(0.0) * WORK_COST_MS;
         let silence = known.health.silence(request.now);
         cost += silence.as_secs_f64() * 1e3 * SILENCE_FACTOR;
--- a/src/core/upstreams/health.rs
+++ b/src/core/upstreams/health.rs
@@ -14,10 +14,10 @@
 /// Broken answers in a row before an upstream is passed over: single ones befall sound upstreams.
 const BROKEN_THRESHOLD: u32 = 2;
 /// Share of the newest measurement in the running mean: about the last four count.
-const PACE_SHARE: f64 = 0.25;
+const LATENCY_RATIO_WEIGHT: f64 = 0.25;
 /// Time in which what was measured fades to 1/e: an upstream that is passed over for being slow is
 /// tried again, and one that is still slow is found out by a few requests.
-const PACE_FADE: Duration = Duration::from_secs(3);
+const LATENCY_RATIO_DECAY: Duration = Duration::from_secs(3);
 
 /// Silence of an attempt that says something about the upstream.
 const SILENCE_LIMIT: Duration = Duration::from_secs(1);
@@ -46,7 +46,7 @@
     failures: u32,
     broken: u32,
     ejected_until: Option<Instant>,
-    pace: Option<(f64, Instant)>,
+    latency_ratio: Option<(f64, Instant)>,
     /// When the attempts began of which nothing was heard yet.
     silent: Vec<Instant>,
 }
@@ -126,16 +126,16 @@
     }
 
     /// Notes a time measured against the usual one: 1.0 is usual.
-    pub fn measure(&mut self, ratio: f64, now: Instant) {
-        let pace = self.pace(now);
-        self.pace = Some((pace + PACE_SHARE * (ratio - pace), now));
+    pub fn observe_latency_ratio(&mut self, ratio: f64, now: Instant) {
+        let latency_ratio = self.latency_ratio(now);
+        self.latency_ratio = Some((latency_ratio + LATENCY_RATIO_WEIGHT * (ratio - latency_ratio), now));
     }
 
     /// How slow it is; 1.0 is usual.
-    pub fn pace(&self, now: Instant) -> f64 {
-        let Some((pace, at)) = self.pace else { return 1.0 };
-        let age = now.saturating_duration_since(at).as_secs_f64() / PACE_FADE.as_secs_f64();
-        1.0 + (pace - 1.0) * (-age).exp()
+    pub fn latency_ratio(&self, now: Instant) -> f64 {
+        let Some((latency_ratio, at)) = self.latency_ratio else { return 1.0 };
+        let age = now.saturating_duration_since(at).as_secs_f64() / LATENCY_RATIO_DECAY.as_secs_f64();
+        1.0 + (latency_ratio - 1.0) * (-age).exp()
     }
 
     pub fn is_ejected(&self, now: Instant) -> bool {
--- a/src/core/upstreams/table.rs
+++ b/src/core/upstreams/table.rs
@@ -16,7 +16,7 @@
 /// rest is the way of the news to this instance.
 const RETURN_GRACE: Duration = Duration::from_millis(2_300);
 /// Share of the newest measurement in a service's running mean: some hundred count.
-const USUAL_SHARE: f64 = 0.01;
+const BASELINE_LATENCY_WEIGHT: f64 = 0.01;
 /// Records of which upstream has read which part; 20,000 take some 2 MB.
 const MAX_RESIDENT: usize = 20_000;
 
@@ -81,7 +81,7 @@
     pub(super) resident: HashMap<BlockId, BTreeSet<UpstreamId>>,
     resident_order: VecDeque<BlockId>,
     /// Running means of what is measured at each service's upstreams, in milliseconds.
-    usual: BTreeMap<ServiceName, f64>,
+    baseline_latencies: BTreeMap<ServiceName, f64>,
     /// Newest life heard of by id, also of upstreams that are gone.
     start_times: BTreeMap<UpstreamId, StartMillis>,
     /// Addresses of lives that ended since this was last asked.
@@ -299,12 +299,12 @@
 
     /// Notes a time that tells how fast an upstream works, in milliseconds. It is held against the
     /// usual one of its service.
-    pub fn measure(&mut self, id: &str, millis: f64, now: Instant) {
+    pub fn observe_latency(&mut self, id: &str, millis: f64, now: Instant) {
         let Some(known) = self.upstreams.get_mut(id) else { return };
-        let usual = self.usual.entry(known.entry.service.clone()).or_insert(millis);
-        *usual += USUAL_SHARE * (millis - *usual);
-        if *usual > 0.0 {
-            known.health.measure(millis / *usual, now);
+        let baseline = self.baseline_latencies.entry(known.entry.service.clone()).or_insert(millis);
+        *baseline += BASELINE_LATENCY_WEIGHT * (millis - *baseline);
+        if *baseline > 0.0 {
+            known.health.observe_latency_ratio(millis / *baseline, now);
         }
     }
 
--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -248,7 +248,7 @@
         let first_at = first_at.filter(|_| paced && events >= MIN_PACED_EVENTS);
         let Some(first_at) = first_at else { return };
         let millis = first_at.elapsed().as_secs_f64() * 1e3 / (events - 1) as f64;
-        self.news.upstreams.borrow_mut().measure(upstream, millis, Instant::now());
+        self.news.upstreams.borrow_mut().observe_latency(upstream, millis, Instant::now());
     }
 
     /// Notes what the engine's memory now holds.
--- a/tests/upstream_choice.rs
+++ b/tests/upstream_choice.rs
@@ -81,10 +81,10 @@
 
     let mut table = self::table(&[("a", "near"), ("b", "near")]);
     for _ in 0..100 {
-        table.measure("b", 12.0, Instant::now());
+        table.observe_latency("b", 12.0, Instant::now());
     }
     for _ in 0..8 {
-        table.measure("a", 60.0, Instant::now());
+        table.observe_latency("a", 60.0, Instant::now());
     }
     assert_eq!(chosen(&table, &turn(Instant::now())).as_deref(), Some("b"));
     advance(Duration::from_secs(15)).await;
