--- a/src/core/upstreams/choice.rs
+++ b/src/core/upstreams/choice.rs
@@ -36,7 +36,7 @@
 /// What an upstream that failed lately costs: it is taken only where there is no other.
 const EJECTED_COST_MS: f64 = 10_000.0;
 /// Usual time of a request apart from its prompt, in milliseconds; a slow upstream multiplies it.
-const WORK_COST_MS: f64 = 300.0;
+const REQUEST_COST_MS: f64 = 300.0;
 /// Slowness that is taken for chance: times of single requests differ by about as much.
 const LATENCY_RATIO_TOLERANCE: f64 = 1.3;
 
@@ -160,10 +160,10 @@
         let step = if request.affinity.is_some() { ORDER_COST_MS } else { CHANCE_COST_MS / 16.0 };
         let mut cost = rank.min(NEAR_RANKS) as f64 * step;
         cost += f64::from(known.health.running) * RUNNING_COST_MS;
-        cost += known.work.at(request.now);
+        cost += known.load.at(request.now);
         cost += self.prefill_ms(known, request) * MOVE_FACTOR;
         let slowness = known.health.latency_ratio(request.now) - LATENCY_RATIO_TOLERANCE;
-        cost += slowness.max(0.0) * WORK_COST_MS;
+        cost += slowness.max(0.0) * REQUEST_COST_MS;
         let silence = known.health.silence(request.now);
         cost += silence.as_secs_f64() * 1e3 * SILENCE_FACTOR;
         cost += entry.warming.as_millis() as f64 / 10.0;
--- a/src/core/upstreams/health.rs
+++ b/src/core/upstreams/health.rs
@@ -53,20 +53,20 @@
 
 /// Work given to an upstream lately, fading with time: a rate, without counting it anew.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct RecentWork {
+pub struct RecentLoad {
     millis: f64,
     at: Option<Instant>,
 }
 
 /// Time in which noted work fades to 1/e: some ten turns of an instance, and short against the
 /// seconds in which load moves.
-const WORK_FADE: Duration = Duration::from_secs(1);
+const LOAD_DECAY: Duration = Duration::from_secs(1);
 
-impl RecentWork {
+impl RecentLoad {
     /// Work of the last second or so, in milliseconds.
     pub fn at(&self, now: Instant) -> f64 {
         let Some(at) = self.at else { return 0.0 };
-        let age = now.saturating_duration_since(at).as_secs_f64() / WORK_FADE.as_secs_f64();
+        let age = now.saturating_duration_since(at).as_secs_f64() / LOAD_DECAY.as_secs_f64();
         self.millis * (-age).exp()
     }
 
--- a/src/core/upstreams/mod.rs
+++ b/src/core/upstreams/mod.rs
@@ -13,7 +13,7 @@
 use crate::core::routing::ServiceName;
 
 pub use choice::{ChoiceRequest, UpstreamChoice};
-pub use health::{AttemptResult, RecentWork, UpstreamHealth};
+pub use health::{AttemptResult, RecentLoad, UpstreamHealth};
 pub use table::{UpstreamUpdate, UpstreamTable};
 
 /// Name of a part of a prompt; requests whose prompts begin alike name the same parts.
--- a/src/core/upstreams/table.rs
+++ b/src/core/upstreams/table.rs
@@ -7,7 +7,7 @@
 
 use super::index::ServiceIndex;
 use super::{
-    AttemptResult, StartMillis, BlockId, RecentWork, UpstreamEntry, UpstreamHealth, UpstreamState,
+    AttemptResult, StartMillis, BlockId, RecentLoad, UpstreamEntry, UpstreamHealth, UpstreamState,
 };
 use crate::core::ids::UpstreamId;
 use crate::core::routing::ServiceName;
@@ -41,7 +41,7 @@
 pub(super) struct TrackedUpstream {
     pub(super) entry: UpstreamEntry,
     pub(super) health: UpstreamHealth,
-    pub(super) work: RecentWork,
+    pub(super) load: RecentLoad,
     /// When this life of the upstream was first heard of.
     since: Instant,
     /// Whether the entry vanished about an outage of the store.
@@ -50,8 +50,8 @@
 
 impl TrackedUpstream {
     fn new(entry: UpstreamEntry, now: Instant) -> Self {
-        let (health, work) = (UpstreamHealth::default(), RecentWork::default());
-        Self { entry, health, work, since: now, missing: false }
+        let (health, load) = (UpstreamHealth::default(), RecentLoad::default());
+        Self { entry, health, load, since: now, missing: false }
     }
 
     /// Takes in another entry of the same life; true if it changes what may be chosen.
@@ -270,7 +270,7 @@
     pub fn started(&mut self, id: &str, work_ms: f64, now: Instant) {
         let Some(known) = self.upstreams.get_mut(id) else { return };
         known.health.started(now);
-        known.work.add(work_ms, now);
+        known.load.add(work_ms, now);
         if self.recent.len() >= MAX_RECENT {
             self.recent.retain(|_, used| now.saturating_duration_since(*used) < RECENT);
         }
