--- a/src/core/upstreams/choice.rs
+++ b/src/core/upstreams/choice.rs
@@ -32,7 +32,7 @@
 const CONNECT_COST_MS: f64 = 10.0;
 /// Weight of an upstream's unusual silence: after another half second it costs more than reading any
 /// usual prompt anew elsewhere, while answers that are only late pass.
-const SILENCE_FACTOR: f64 = 3.0;
+const OVERDUE_FACTOR: f64 = 3.0;
 /// What an upstream that failed lately costs: it is taken only where there is no other.
 const EJECTED_COST_MS: f64 = 10_000.0;
 /// Usual time of a request apart from its prompt, in milliseconds; a slow upstream multiplies it.
@@ -164,8 +164,8 @@
         cost += self.prefill_ms(known, request) * MOVE_FACTOR;
         let slowness = known.health.latency_ratio(request.now) - LATENCY_RATIO_TOLERANCE;
         cost += slowness.max(0.0) * REQUEST_COST_MS;
-        let silence = known.health.silence(request.now);
-        cost += silence.as_secs_f64() * 1e3 * SILENCE_FACTOR;
+        let overdue = known.health.first_byte_overdue(request.now);
+        cost += overdue.as_secs_f64() * 1e3 * OVERDUE_FACTOR;
         cost += entry.warming.as_millis() as f64 / 10.0;
         if *entry.zone != *request.zone {
             cost += FAR_COST_MS;
--- a/src/core/upstreams/health.rs
+++ b/src/core/upstreams/health.rs
@@ -20,7 +20,7 @@
 const LATENCY_RATIO_DECAY: Duration = Duration::from_secs(3);
 
 /// Silence of an attempt that says something about the upstream.
-const SILENCE_LIMIT: Duration = Duration::from_secs(1);
+const FIRST_BYTE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How one attempt at an upstream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -48,7 +48,7 @@
     ejected_until: Option<Instant>,
     latency_ratio: Option<(f64, Instant)>,
     /// When the attempts began of which nothing was heard yet.
-    silent: Vec<Instant>,
+    awaiting_first_byte: Vec<Instant>,
 }
 
 /// Work given to an upstream lately, fading with time: a rate, without counting it anew.
@@ -80,30 +80,30 @@
     /// An attempt begins.
     pub fn started(&mut self, now: Instant) {
         self.running += 1;
-        self.silent.push(now);
+        self.awaiting_first_byte.push(now);
     }
 
     /// The first bytes came of the attempt that began then; false if it was heard of before.
-    pub fn heard(&mut self, begun: Instant) -> bool {
-        let position = self.silent.iter().position(|at| *at == begun);
-        position.map(|position| self.silent.swap_remove(position)).is_some()
+    pub fn record_first_byte(&mut self, started: Instant) -> bool {
+        let position = self.awaiting_first_byte.iter().position(|at| *at == started);
+        position.map(|position| self.awaiting_first_byte.swap_remove(position)).is_some()
     }
 
     /// The attempt that began then has ended.
-    pub fn ended(&mut self, begun: Instant, result: AttemptResult, now: Instant) {
+    pub fn ended(&mut self, started: Instant, result: AttemptResult, now: Instant) {
         self.running = self.running.saturating_sub(1);
-        let silent = self.heard(begun) && begun + SILENCE_LIMIT <= now;
+        let overdue = self.record_first_byte(started) && started + FIRST_BYTE_TIMEOUT <= now;
         match result {
-            AttemptResult::Abandoned if silent => self.fail(now),
+            AttemptResult::Abandoned if overdue => self.fail(now),
             result => self.record(result, now),
         }
     }
 
     /// How much longer than usual it has left an attempt without a word.
-    pub fn silence(&self, now: Instant) -> Duration {
-        let oldest = self.silent.iter().min();
-        let silent = oldest.map_or(Duration::ZERO, |at| now.saturating_duration_since(*at));
-        silent.saturating_sub(SILENCE_LIMIT)
+    pub fn first_byte_overdue(&self, now: Instant) -> Duration {
+        let oldest = self.awaiting_first_byte.iter().min();
+        let waited = oldest.map_or(Duration::ZERO, |at| now.saturating_duration_since(*at));
+        waited.saturating_sub(FIRST_BYTE_TIMEOUT)
     }
 
     pub fn record(&mut self, result: AttemptResult, now: Instant) {
@@ -127,15 +127,15 @@
 
     /// Notes a time measured against the usual one: 1.0 is usual.
     pub fn observe_latency_ratio(&mut self, ratio: f64, now: Instant) {
-        let latency_ratio = self.latency_ratio(now);
-        self.latency_ratio = Some((latency_ratio + LATENCY_RATIO_WEIGHT * (ratio - latency_ratio), now));
+        let mean = self.latency_ratio(now);
+        self.latency_ratio = Some((mean + LATENCY_RATIO_WEIGHT * (ratio - mean), now));
     }
 
     /// How slow it is; 1.0 is usual.
     pub fn latency_ratio(&self, now: Instant) -> f64 {
-        let Some((latency_ratio, at)) = self.latency_ratio else { return 1.0 };
+        let Some((mean, at)) = self.latency_ratio else { return 1.0 };
         let age = now.saturating_duration_since(at).as_secs_f64() / LATENCY_RATIO_DECAY.as_secs_f64();
-        1.0 + (latency_ratio - 1.0) * (-age).exp()
+        1.0 + (mean - 1.0) * (-age).exp()
     }
 
     pub fn is_ejected(&self, now: Instant) -> bool {
--- a/src/core/upstreams/table.rs
+++ b/src/core/upstreams/table.rs
@@ -278,23 +278,23 @@
     }
 
     /// The first bytes of an answer came, to an attempt that began then.
-    pub fn heard(&mut self, id: &str, begun: Instant) {
-        if let Some(known) = self.tracked_since(id, begun) {
-            known.health.heard(begun);
+    pub fn record_first_byte(&mut self, id: &str, started: Instant) {
+        if let Some(known) = self.tracked_since(id, started) {
+            known.health.record_first_byte(started);
         }
     }
 
     /// An attempt that began then has ended.
-    pub fn ended(&mut self, id: &str, begun: Instant, result: AttemptResult, now: Instant) {
-        if let Some(known) = self.tracked_since(id, begun) {
-            known.health.ended(begun, result, now);
+    pub fn ended(&mut self, id: &str, started: Instant, result: AttemptResult, now: Instant) {
+        if let Some(known) = self.tracked_since(id, started) {
+            known.health.ended(started, result, now);
         }
     }
 
     /// The upstream whose present life got an attempt that began then; what happens to attempts at a
     /// former life says nothing about it.
-    fn tracked_since(&mut self, id: &str, begun: Instant) -> Option<&mut TrackedUpstream> {
-        self.upstreams.get_mut(id).filter(|known| known.since <= begun)
+    fn tracked_since(&mut self, id: &str, started: Instant) -> Option<&mut TrackedUpstream> {
+        self.upstreams.get_mut(id).filter(|known| known.since <= started)
     }
 
     /// Notes a time that tells how fast an upstream works, in milliseconds. It is held against the
--- a/src/gateway/attempt/guard.rs
+++ b/src/gateway/attempt/guard.rs
@@ -31,7 +31,7 @@
         let begun = Instant::now();
         upstreams.started(&choice.id, choice.prefill_ms, begun);
         if !gateway.settings.uses(GatewayMechanism::SilenceAvoidance) {
-            upstreams.heard(&choice.id, begun);
+            upstreams.record_first_byte(&choice.id, begun);
         }
         Self {
             gateway: gateway.clone(),
@@ -47,7 +47,7 @@
 
     /// Notes that the first bytes of the answer's body came.
     pub(crate) fn heard(&self) {
-        self.gateway.news.upstreams.borrow_mut().heard(&self.upstream, self.begun);
+        self.gateway.news.upstreams.borrow_mut().record_first_byte(&self.upstream, self.begun);
         if let Some(waited) = self.take_wait() {
             let mut gate = self.gateway.gate.borrow_mut();
             gate.note_wait(&self.service, waited, self.objective, Instant::now());
--- a/tests/upstream_choice.rs
+++ b/tests/upstream_choice.rs
@@ -165,7 +165,7 @@
     };
     let streaming = Instant::now();
     table.started("a", 0.0, streaming);
-    table.heard("a", streaming);
+    table.record_first_byte("a", streaming);
     advance(Duration::from_secs(3)).await;
     assert_eq!(continued(&table).as_deref(), Some("a"));
     let silent = Instant::now();
