--- a/src/core/upstreams/choice.rs
+++ b/src/core/upstreams/choice.rs
@@ -123,7 +123,7 @@
         let key = request.affinity.map_or(request.salt, |key| xxh3_64(key.as_bytes()));
         let mut ranked: Vec<RankedUpstream<'a>> = Vec::new();
         self.index.visit(request.service, request.zone, key, |id| {
-            if let Some(known) = self.usable(id, request) {
+            if let Some(known) = self.available(id, request) {
                 ranked.push((ranked.len(), known));
             }
             ranked.len() < most
@@ -139,7 +139,7 @@
         others.sort_unstable();
         others.dedup();
         for id in others {
-            let Some(known) = self.usable(id, request) else { continue };
+            let Some(known) = self.available(id, request) else { continue };
             if ranked[..most].iter().all(|(_, ranked)| ranked.entry.id != known.entry.id) {
                 ranked.push((most, known));
             }
@@ -147,12 +147,12 @@
         ranked
     }
 
-    fn usable(&self, id: &UpstreamId, request: &ChoiceRequest<'_>) -> Option<&TrackedUpstream> {
+    fn available(&self, id: &UpstreamId, request: &ChoiceRequest<'_>) -> Option<&TrackedUpstream> {
         let known = self.upstreams.get(id)?;
-        let usable = *known.entry.service == *request.service
-            && self.is_usable(known, request.now)
+        let available = *known.entry.service == *request.service
+            && self.is_available(known, request.now)
             && !request.tried.contains(id);
-        usable.then_some(known)
+        available.then_some(known)
     }
 
     fn cost(&self, known: &TrackedUpstream, rank: usize, request: &ChoiceRequest<'_>) -> f64 {
--- a/src/core/upstreams/table.rs
+++ b/src/core/upstreams/table.rs
@@ -14,7 +14,7 @@
 
 /// Entries that lapse while the store is away return within about two seconds of its return; the
 /// rest is the way of the news to this instance.
-const RETURN_GRACE: Duration = Duration::from_millis(2_300);
+const RECOVERY_GRACE: Duration = Duration::from_millis(2_300);
 /// Share of the newest measurement in a service's running mean: some hundred count.
 const BASELINE_LATENCY_WEIGHT: f64 = 0.01;
 /// Records of which upstream has read which part; 20,000 take some 2 MB.
@@ -45,18 +45,18 @@
     /// When this life of the upstream was first heard of.
     since: Instant,
     /// Whether the entry vanished about an outage of the store.
-    missing: bool,
+    expired_in_outage: bool,
 }
 
 impl TrackedUpstream {
     fn new(entry: UpstreamEntry, now: Instant) -> Self {
         let (health, load) = (UpstreamHealth::default(), RecentLoad::default());
-        Self { entry, health, load, since: now, missing: false }
+        Self { entry, health, load, since: now, expired_in_outage: false }
     }
 
     /// Takes in another entry of the same life; true if it changes what may be chosen.
     fn refresh(&mut self, entry: UpstreamEntry) -> bool {
-        self.missing = false;
+        self.expired_in_outage = false;
         let changed = self.entry.state != entry.state || self.entry.address != entry.address;
         // A draining upstream returns only with a new life; late news of an earlier state must not
         // revive it.
@@ -75,9 +75,9 @@
     /// When upstreams last got an attempt of this instance, those of late.
     pub(super) recent: HashMap<UpstreamId, Instant>,
     /// Since when the store has not been readable.
-    lost_since: Option<Instant>,
+    unreadable_since: Option<Instant>,
     /// When it became readable again.
-    back_since: Option<Instant>,
+    recovered_at: Option<Instant>,
     pub(super) resident: HashMap<BlockId, BTreeSet<UpstreamId>>,
     resident_order: VecDeque<BlockId>,
     /// Running means of what is measured at each service's upstreams, in milliseconds.
@@ -178,9 +178,9 @@
     /// An entry that vanishes in or right after an outage of the store may only have lapsed, with
     /// the upstream in full health: dropping all of them at once would leave nobody to serve.
     fn remove(&mut self, id: &str, now: Instant) -> bool {
-        if self.is_doubtful(now) {
+        if self.defers_removals(now) {
             if let Some(known) = self.upstreams.get_mut(id) {
-                known.missing = true;
+                known.expired_in_outage = true;
             }
             return false;
         }
@@ -196,46 +196,46 @@
 
     /// Whether an upstream may be given work. One that vanished about an outage may until it should
     /// have returned, which must not wait for further news: it may really have left.
-    pub(super) fn is_usable(&self, known: &TrackedUpstream, now: Instant) -> bool {
-        let listed = !known.missing || self.is_doubtful(now);
+    pub(super) fn is_available(&self, known: &TrackedUpstream, now: Instant) -> bool {
+        let listed = !known.expired_in_outage || self.defers_removals(now);
         listed && known.entry.state == UpstreamState::Ready
     }
 
-    fn is_doubtful(&self, now: Instant) -> bool {
-        let lately = self.back_since.is_some_and(|back| now < back + RETURN_GRACE);
-        self.lost_since.is_some() || lately
+    fn defers_removals(&self, now: Instant) -> bool {
+        let recovering = self.recovered_at.is_some_and(|recovered| now < recovered + RECOVERY_GRACE);
+        self.unreadable_since.is_some() || recovering
     }
 
     /// Notes whether the store could be read.
-    pub fn store_readable(&mut self, readable: bool, now: Instant) {
-        match (readable, self.lost_since) {
+    pub fn set_store_readable(&mut self, readable: bool, now: Instant) {
+        match (readable, self.unreadable_since) {
             (true, Some(_)) => {
-                self.lost_since = None;
-                self.back_since = Some(now);
+                self.unreadable_since = None;
+                self.recovered_at = Some(now);
             }
-            (false, None) => self.lost_since = Some(now),
+            (false, None) => self.unreadable_since = Some(now),
             (true, None) | (false, Some(_)) => {}
         }
     }
 
     /// Notes a return of the store that a peer has seen.
-    pub fn store_returned(&mut self, at: Instant) {
-        self.back_since = self.back_since.max(Some(at));
+    pub fn record_store_recovery(&mut self, at: Instant) {
+        self.recovered_at = self.recovered_at.max(Some(at));
     }
 
     /// How long ago the store returned, while entries that vanished are doubted for that.
-    pub fn returned_for(&self, now: Instant) -> Option<Duration> {
-        let returned = self.back_since.map(|back| now.saturating_duration_since(back));
-        returned.filter(|returned| *returned < RETURN_GRACE)
+    pub fn time_since_recovery(&self, now: Instant) -> Option<Duration> {
+        let elapsed = self.recovered_at.map(|recovered| now.saturating_duration_since(recovered));
+        elapsed.filter(|elapsed| *elapsed < RECOVERY_GRACE)
     }
 
     /// Drops entries that did not return after an outage; their ids.
     pub fn expire(&mut self, now: Instant) -> Vec<UpstreamId> {
-        if self.is_doubtful(now) {
+        if self.defers_removals(now) {
             return Vec::new();
         }
-        let missing = self.upstreams.iter().filter(|(_, known)| known.missing);
-        let gone: Vec<_> = missing.map(|(id, _)| id.clone()).collect();
+        let expired = self.upstreams.iter().filter(|(_, known)| known.expired_in_outage);
+        let gone: Vec<_> = expired.map(|(id, _)| id.clone()).collect();
         for id in &gone {
             self.forget(id);
         }
--- a/src/gateway/news/follow.rs
+++ b/src/gateway/news/follow.rs
@@ -123,9 +123,9 @@
     pub(crate) async fn follow_outages(self: Rc<Self>) {
         loop {
             self.store.unreachable().await;
-            self.upstreams.borrow_mut().store_readable(false, Instant::now());
+            self.upstreams.borrow_mut().set_store_readable(false, Instant::now());
             self.store.reachable().await;
-            self.upstreams.borrow_mut().store_readable(true, Instant::now());
+            self.upstreams.borrow_mut().set_store_readable(true, Instant::now());
         }
     }
 
--- a/src/gateway/news/reader.rs
+++ b/src/gateway/news/reader.rs
@@ -170,7 +170,7 @@
         let told = asked.steady() + reply.held.min(asked.steady().elapsed());
         let before = |age: Duration| told.checked_sub(age).unwrap_or(asked.steady());
         if let Some(returned) = reply.returned {
-            self.upstreams.borrow_mut().store_returned(before(returned));
+            self.upstreams.borrow_mut().record_store_recovery(before(returned));
         }
         self.hops.set(reply.hops + 1);
         let TableNews { head, age, page } = reply.routes;
@@ -205,7 +205,7 @@
             }
             let has_news = !routes.page.rows.is_empty() || !upstreams.page.rows.is_empty();
             if has_news || question.continues || Instant::now() >= until {
-                let returned = self.upstreams.borrow().returned_for(Instant::now());
+                let returned = self.upstreams.borrow().time_since_recovery(Instant::now());
                 let held = begun.elapsed();
                 return Some(NewsReply { routes, upstreams, returned, held, hops }.encode());
             }
--- a/tests/upstream_choice.rs
+++ b/tests/upstream_choice.rs
@@ -123,10 +123,10 @@
 #[tokio::test(start_paused = true)]
 async fn lapsed_entries_wait_for_the_stores_return() {
     let mut table = table(&[("a", "near"), ("b", "near")]);
-    table.store_readable(false, Instant::now());
+    table.set_store_readable(false, Instant::now());
     table.replace(Vec::new(), Instant::now());
     advance(Duration::from_secs(9)).await;
-    table.store_readable(true, Instant::now());
+    table.set_store_readable(true, Instant::now());
     advance(Duration::from_secs(2)).await;
     assert!(table.expire(Instant::now()).is_empty());
     let back = entry("a", "near", UpstreamState::Ready);
@@ -144,8 +144,8 @@
 #[tokio::test(start_paused = true)]
 async fn doubt_about_an_entry_ends_by_itself() {
     let mut table = table(&[("a", "near")]);
-    table.store_readable(false, Instant::now());
-    table.store_readable(true, Instant::now());
+    table.set_store_readable(false, Instant::now());
+    table.set_store_readable(true, Instant::now());
     table.apply(UpstreamUpdate::Removed("a".into()), Instant::now());
     assert_eq!(chosen(&table, &request(&[], None)).as_deref(), Some("a"));
     advance(Duration::from_millis(2_400)).await;
