--- a/src/core/upstreams/choice.rs
+++ b/src/core/upstreams/choice.rs
@@ -10,24 +10,24 @@
 /// Prompt tokens that an engine is taken to read in a millisecond.
 const PREFILL_TOKENS_PER_MS: f64 = 32.0;
 /// Weight of reading a prompt anew against waiting: it also delays all others at that engine.
-const MOVE_FACTOR: f64 = 2.0;
+const PREFILL_FACTOR: f64 = 2.0;
 /// Tokens of new input that the engine of the turn before reads; a usual turn's.
 const NEW_INPUT_TOKENS: u64 = 1_000;
 /// Delay that each request of this instance at an engine adds, in milliseconds: others' prompts
 /// are read between its tokens.
 const RUNNING_COST_MS: f64 = 3.0;
 /// What an upstream in another zone costs, in milliseconds: the longer way and the priced bytes.
-const FAR_COST_MS: f64 = 30.0;
+const CROSS_ZONE_COST_MS: f64 = 30.0;
 /// Difference between one upstream and the next in an object's order, in milliseconds. It gathers
 /// the requests about an object on the same upstreams of all instances, and yields to load.
-const ORDER_COST_MS: f64 = 6.0;
+const RANK_COST_MS: f64 = 6.0;
 /// Upstreams of an order that a choice looks at, and the last place that costs more than the one before:
 /// among thousands, chance and the order of an object must not outweigh what an upstream holds.
-const NEAR_RANKS: usize = 32;
+const MAX_RANKED: usize = 32;
 /// Upstreams that hold part of a prompt at which a choice looks besides.
 const MAX_HOLDERS: usize = 64;
 /// Difference that chance makes between upstreams that cost the same, in milliseconds.
-const CHANCE_COST_MS: f64 = 2.0;
+const TIE_BREAK_COST_MS: f64 = 2.0;
 /// What a new connection costs, in milliseconds: a way there and back, and its price.
 const CONNECT_COST_MS: f64 = 10.0;
 /// Weight of an upstream's unusual silence: after another half second it costs more than reading any
@@ -81,15 +81,15 @@
 impl UpstreamTable {
     /// The cheapest ready upstream that was not tried yet.
     pub fn choose(&self, request: &ChoiceRequest<'_>) -> Option<UpstreamChoice> {
-        let near = self.candidates(request, NEAR_RANKS);
-        let found = self.cheapest(&near, request);
+        let ranked = self.candidates(request, MAX_RANKED);
+        let found = self.cheapest(&ranked, request);
         // Where all of these have failed, any other may be better.
         let failed = found.is_none_or(|(cost, _)| cost >= EJECTED_COST_MS);
         let (candidates, (cost_ms, known)) = if failed {
             let all = self.candidates(request, usize::MAX);
             (all.len(), self.cheapest(&all, request)?)
         } else {
-            (near.len(), found?)
+            (ranked.len(), found?)
         };
         Some(UpstreamChoice {
             id: known.entry.id.clone(),
@@ -118,7 +118,7 @@
     fn candidates<'a>(
         &'a self,
         request: &ChoiceRequest<'_>,
-        most: usize,
+        max: usize,
     ) -> Vec<RankedUpstream<'a>> {
         let key = request.affinity.map_or(request.salt, |key| xxh3_64(key.as_bytes()));
         let mut ranked: Vec<RankedUpstream<'a>> = Vec::new();
@@ -126,9 +126,9 @@
             if let Some(known) = self.available(id, request) {
                 ranked.push((ranked.len(), known));
             }
-            ranked.len() < most
+            ranked.len() < max
         });
-        if ranked.len() < most {
+        if ranked.len() < max {
             return ranked;
         }
         // The last parts are a program's own, so those that hold them hold most of the prompt.
@@ -140,8 +140,8 @@
         others.dedup();
         for id in others {
             let Some(known) = self.available(id, request) else { continue };
-            if ranked[..most].iter().all(|(_, ranked)| ranked.entry.id != known.entry.id) {
-                ranked.push((most, known));
+            if ranked[..max].iter().all(|(_, ranked)| ranked.entry.id != known.entry.id) {
+                ranked.push((max, known));
             }
         }
         ranked
@@ -157,18 +157,18 @@
 
     fn cost(&self, known: &TrackedUpstream, rank: usize, request: &ChoiceRequest<'_>) -> f64 {
         let entry = &known.entry;
-        let step = if request.affinity.is_some() { ORDER_COST_MS } else { CHANCE_COST_MS / 16.0 };
-        let mut cost = rank.min(NEAR_RANKS) as f64 * step;
+        let step = if request.affinity.is_some() { RANK_COST_MS } else { TIE_BREAK_COST_MS / 16.0 };
+        let mut cost = rank.min(MAX_RANKED) as f64 * step;
         cost += f64::from(known.health.running) * RUNNING_COST_MS;
         cost += known.load.at(request.now);
-        cost += self.prefill_ms(known, request) * MOVE_FACTOR;
+        cost += self.prefill_ms(known, request) * PREFILL_FACTOR;
         let slowness = known.health.latency_ratio(request.now) - LATENCY_RATIO_TOLERANCE;
         cost += slowness.max(0.0) * REQUEST_COST_MS;
         let overdue = known.health.first_byte_overdue(request.now);
         cost += overdue.as_secs_f64() * 1e3 * OVERDUE_FACTOR;
         cost += entry.warming.as_millis() as f64 / 10.0;
         if *entry.zone != *request.zone {
-            cost += FAR_COST_MS;
+            cost += CROSS_ZONE_COST_MS;
         }
         if !(request.connected)(&entry.address) {
             cost += CONNECT_COST_MS;
--- a/src/core/upstreams/index.rs
+++ b/src/core/upstreams/index.rs
@@ -9,7 +9,7 @@
 use crate::core::routing::ServiceName;
 
 /// Entries that are put in order at first; few of them are not usable.
-const ORDERED_FIRST: usize = 64;
+const PARTIAL_SORT_LEN: usize = 64;
 
 /// What a choice needs to know of an upstream that it does not look at closer.
 #[derive(Debug)]
@@ -66,9 +66,9 @@
         };
         let mut order: Vec<(bool, u64, u32)> = entries.iter().enumerate().map(ranked).collect();
         let mut ordered = order.len();
-        if ordered > ORDERED_FIRST {
-            order.select_nth_unstable(ORDERED_FIRST);
-            ordered = ORDERED_FIRST;
+        if ordered > PARTIAL_SORT_LEN {
+            order.select_nth_unstable(PARTIAL_SORT_LEN);
+            ordered = PARTIAL_SORT_LEN;
         }
         order[..ordered].sort_unstable();
         for place in 0..order.len() {
--- a/src/core/upstreams/table.rs
+++ b/src/core/upstreams/table.rs
@@ -18,7 +18,7 @@
 /// Share of the newest measurement in a service's running mean: some hundred count.
 const BASELINE_LATENCY_WEIGHT: f64 = 0.01;
 /// Records of which upstream has read which part; 20,000 take some 2 MB.
-const MAX_RESIDENT: usize = 20_000;
+const MAX_RESIDENT_BLOCKS: usize = 20_000;
 
 /// Births remembered of upstreams that are gone; beyond that those of listed ones remain. 10,000 take
 /// some 0.5 MB.
@@ -26,7 +26,7 @@
 
 /// How long ago an attempt may be for its upstream to be looked at by every choice: connections are
 /// kept for some seconds.
-const RECENT: Duration = Duration::from_secs(5);
+const RECENT_WINDOW: Duration = Duration::from_secs(5);
 /// Upstreams of late among which older ones are looked for.
 const MAX_RECENT: usize = 128;
 
@@ -272,7 +272,7 @@
         known.health.started(now);
         known.load.add(work_ms, now);
         if self.recent.len() >= MAX_RECENT {
-            self.recent.retain(|_, used| now.saturating_duration_since(*used) < RECENT);
+            self.recent.retain(|_, used| now.saturating_duration_since(*used) < RECENT_WINDOW);
         }
         self.recent.insert(id.into(), now);
     }
@@ -314,7 +314,7 @@
             holders.insert(id.clone());
             return;
         }
-        if self.resident.len() >= MAX_RESIDENT
+        if self.resident.len() >= MAX_RESIDENT_BLOCKS
             && let Some(oldest) = self.resident_order.pop_front()
         {
             self.resident.remove(&oldest);
