--- a/src/core/routing/mod.rs
+++ b/src/core/routing/mod.rs
@@ -6,7 +6,7 @@
 
 use derive_more::Display;
 
-pub use table::{RouteTable, TableNews, TableView};
+pub use table::{RouteTable, UpdateOutcome, TableView};
 
 /// Name of a service, as routes refer to it.
 pub type ServiceName = Box<str>;
--- a/src/core/routing/table.rs
+++ b/src/core/routing/table.rs
@@ -74,7 +74,7 @@
 
 /// What became of a version that was offered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TableNews {
+pub enum UpdateOutcome {
     Applied,
     /// Not newer than the one in force.
     Old,
@@ -92,12 +92,12 @@
     ///
     /// A reply that was under way while a later one arrived would otherwise bring dropped routes
     /// back: a request that was refused a moment ago would be served by the old service.
-    pub fn offer(&mut self, table: RouteTable) -> TableNews {
+    pub fn update(&mut self, table: RouteTable) -> UpdateOutcome {
         if self.current.as_ref().is_some_and(|current| current.version >= table.version) {
-            return TableNews::Old;
+            return UpdateOutcome::Old;
         }
         self.current = Some(table.into());
-        TableNews::Applied
+        UpdateOutcome::Applied
     }
 
     /// Notes that the store had nothing newer at `now`.
--- a/src/gateway/news/mod.rs
+++ b/src/gateway/news/mod.rs
@@ -27,7 +27,7 @@
 use super::store::StoreLink;
 use crate::core::ids::UpstreamId;
 use crate::core::quotas::QuotaTerms;
-use crate::core::routing::{RouteTable, TableNews, TableVersion, TableView};
+use crate::core::routing::{RouteTable, UpdateOutcome, TableVersion, TableView};
 use crate::core::upstreams::{UpstreamUpdate, UpstreamEntry, UpstreamTable};
 use crate::util::pause::ClockMark;
 
@@ -187,7 +187,7 @@
             }
         };
         let (version, routes) = (table.version, table.route_count());
-        if self.routes.borrow_mut().offer(table) == TableNews::Old {
+        if self.routes.borrow_mut().update(table) == UpdateOutcome::Old {
             return;
         }
         let table = self.routes.borrow().current();
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use merlinsaddle::core::routing::{
-    CallerLimits, RouteKind, RouteSpec, RouteTable, ServiceSpec, TableNews, TableView,
+    CallerLimits, RouteKind, RouteSpec, RouteTable, ServiceSpec, UpdateOutcome, TableView,
 };
 use rstest::rstest;
 
@@ -82,9 +82,9 @@
 #[test]
 fn an_older_table_is_not_taken() {
     let mut view = TableView::default();
-    assert_eq!(view.offer(table(5)), TableNews::Applied);
-    assert_eq!(view.offer(table(4)), TableNews::Old);
-    assert_eq!(view.offer(table(5)), TableNews::Old);
+    assert_eq!(view.update(table(5)), UpdateOutcome::Applied);
+    assert_eq!(view.update(table(4)), UpdateOutcome::Old);
+    assert_eq!(view.update(table(5)), UpdateOutcome::Old);
     assert_eq!(view.current().map(|table| table.version), Some(5));
-    assert_eq!(view.offer(table(9)), TableNews::Applied);
+    assert_eq!(view.update(table(9)), UpdateOutcome::Applied);
 }
