--- a/src/bench/members/sim.rs
+++ b/src/bench/members/sim.rs
@@ -322,7 +322,7 @@
             _ => {
                 self.head_reads += 1;
                 let head = self.log.len() as u64;
-                self.nodes[node].config.saw_head(head, now);
+                self.nodes[node].config.observe_head(head, now);
                 if self.nodes[node].config.is_behind() {
                     self.apply_log(node, head);
                 }
@@ -341,9 +341,9 @@
         });
         let config = &mut self.nodes[to].config;
         if let (Some(asked), Some(age)) = (asked, message.head_age) {
-            config.saw_head(message.config_head, asked - age);
+            config.observe_head(message.config_head, asked - age);
         }
-        config.heard_head(message.config_head);
+        config.raise_head(message.config_head);
         self.processor += began.elapsed();
         if self.nodes[to].config.version() < message.config_head {
             self.fetch(to, message.config_head);
--- a/src/core/config/mod.rs
+++ b/src/core/config/mod.rs
@@ -8,4 +8,4 @@
 pub use change::{ChangeBody, ConfigChange, DefinitionSpec, SpecFault, WorkspaceSpec};
 pub use engines::EngineGroupSpec;
 pub use source::{HeadSource, head_source};
-pub use view::{ApplyOutcome, ConfigView, HeadProof, Versioned};
+pub use view::{ApplyOutcome, ConfigView, HeadBound, Versioned};
--- a/src/core/config/view.rs
+++ b/src/core/config/view.rs
@@ -28,14 +28,14 @@
 
 /// At `at`, no change above `head` had been accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct HeadSighting {
+struct HeadObservation {
     head: ConfigVersion,
     at: Instant,
 }
 
 /// What one instance can tell others of the head: `age` ago, nothing above `head` existed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HeadProof {
+pub struct HeadBound {
     pub head: ConfigVersion,
     pub age: Duration,
 }
@@ -47,7 +47,7 @@
     /// The highest head seen anywhere; above `version` while changes are missing.
     head: ConfigVersion,
     /// The latest moment at which the head is known not to have been above a version.
-    sighting: Option<HeadSighting>,
+    observation: Option<HeadObservation>,
     /// A moment at which `version` was certainly the newest.
     current_at: Option<Instant>,
     workspaces: BTreeMap<WorkspaceId, Versioned<WorkspaceSpec>>,
@@ -80,7 +80,7 @@
         }
         self.set(change.version, &change.body);
         self.version = change.version;
-        self.conclude_sighting();
+        self.update_current_at();
         self.log.push(change.clone());
         if self.log.len() > LOG_CAPACITY {
             self.log.drain(..LOG_CAPACITY / 2);
@@ -97,7 +97,7 @@
     pub fn loaded(&mut self, version: ConfigVersion) {
         self.version = self.version.max(version);
         self.head = self.head.max(version);
-        self.conclude_sighting();
+        self.update_current_at();
     }
 
     /// A snapshot may hold objects newer than the log entries replayed after it, so an older
@@ -124,7 +124,7 @@
     }
 
     /// A peer knows this version; it says nothing about newer ones.
-    pub fn heard_head(&mut self, head: ConfigVersion) {
+    pub fn raise_head(&mut self, head: ConfigVersion) {
         self.head = self.head.max(head);
     }
 
@@ -138,18 +138,18 @@
     /// The claim holds for every earlier moment too, so where the true moment is not known exactly
     /// a moment before it is sound and one after it is not: a view would pass for current longer
     /// than the bound, and a retired workspace would be served on.
-    pub fn saw_head(&mut self, head: ConfigVersion, at: Instant) {
+    pub fn observe_head(&mut self, head: ConfigVersion, at: Instant) {
         self.head = self.head.max(head);
-        if self.sighting.is_none_or(|known| known.at < at) {
-            self.sighting = Some(HeadSighting { head, at });
+        if self.observation.is_none_or(|known| known.at < at) {
+            self.observation = Some(HeadObservation { head, at });
         }
-        self.conclude_sighting();
+        self.update_current_at();
     }
 
-    fn conclude_sighting(&mut self) {
-        let Some(sighting) = self.sighting else { return };
-        if self.version >= sighting.head {
-            self.current_at = self.current_at.max(Some(sighting.at));
+    fn update_current_at(&mut self) {
+        let Some(observation) = self.observation else { return };
+        if self.version >= observation.head {
+            self.current_at = self.current_at.max(Some(observation.at));
         }
     }
 
@@ -159,8 +159,8 @@
     }
 
     /// What others may conclude from this view.
-    pub fn proof(&self, now: Instant) -> Option<HeadProof> {
-        self.age(now).map(|age| HeadProof { head: self.version, age })
+    pub fn head_bound(&self, now: Instant) -> Option<HeadBound> {
+        self.age(now).map(|age| HeadBound { head: self.version, age })
     }
 
     /// Whether this view was the newest within the last `bound`.
@@ -214,7 +214,7 @@
     pub fn changes_since(&self, version: ConfigVersion) -> Option<Vec<ConfigChange>> {
         let newer: Vec<_> =
             self.log.iter().filter(|change| change.version > version).cloned().collect();
-        let whole = newer.len() as u64 == self.version.saturating_sub(version);
-        whole.then_some(newer)
+        let complete = newer.len() as u64 == self.version.saturating_sub(version);
+        complete.then_some(newer)
     }
 }
--- a/src/node/config_sync.rs
+++ b/src/node/config_sync.rs
@@ -140,9 +140,9 @@
         if let (Some(asked), Some(age)) = (asked, message.head_age)
             && let Some(at) = asked.checked_sub(age)
         {
-            self.config.borrow_mut().saw_head(message.config_head, at);
+            self.config.borrow_mut().observe_head(message.config_head, at);
         }
-        self.config.borrow_mut().heard_head(message.config_head);
+        self.config.borrow_mut().raise_head(message.config_head);
         if self.config.borrow().version() < message.config_head {
             *self.config_announcer.borrow_mut() = Some(message.from.clone());
             self.config_changed.notify_one();
@@ -206,7 +206,7 @@
 
     /// Notes that the head was `head` at `at`.
     pub(crate) fn saw_config_head(&self, head: ConfigVersion, at: Instant) {
-        self.config.borrow_mut().saw_head(head, at);
+        self.config.borrow_mut().observe_head(head, at);
         if self.config.borrow().is_behind() {
             self.config_changed.notify_one();
         }
@@ -228,7 +228,7 @@
                 break;
             }
         }
-        self.config.borrow_mut().saw_head(head, read_at);
+        self.config.borrow_mut().observe_head(head, read_at);
         Ok(())
     }
 
--- a/tests/config_view.rs
+++ b/tests/config_view.rs
@@ -25,11 +25,11 @@
         missed: usize,
     },
     /// Word arrives of what the head was some time ago.
-    Sighting {
+    ObserveHead {
         millis_ago: u64,
     },
     /// A datagram names some version that exists.
-    Hear(usize),
+    RaiseHead(usize),
     Advance(u64),
 }
 
@@ -63,8 +63,8 @@
             3 => (0..3u8).prop_map(Step::Accept),
             6 => (0..64usize).prop_map(Step::Deliver),
             1 => (0..3usize).prop_map(|missed| Step::Load { missed }),
-            3 => (0..6000u64).prop_map(|millis_ago| Step::Sighting { millis_ago }),
-            2 => (0..64usize).prop_map(Step::Hear),
+            3 => (0..6000u64).prop_map(|millis_ago| Step::ObserveHead { millis_ago }),
+            2 => (0..64usize).prop_map(Step::RaiseHead),
             4 => (0..1500u64).prop_map(Step::Advance),
         ]
         .boxed()
@@ -128,13 +128,13 @@
                 }
                 test.view.loaded(log.changes.len().saturating_sub(missed) as u64);
             }
-            Step::Sighting { millis_ago } => {
+            Step::ObserveHead { millis_ago } => {
                 let then = log.now - millis_ago;
-                test.view.saw_head(log.head_at(then), test.at(then));
+                test.view.observe_head(log.head_at(then), test.at(then));
             }
-            Step::Hear(choice) => {
+            Step::RaiseHead(choice) => {
                 let version = log.pick(choice).map_or(0, |change| change.version);
-                test.view.heard_head(version);
+                test.view.raise_head(version);
             }
         }
         test
