--- a/src/core/config/change.rs
+++ b/src/core/config/change.rs
@@ -51,9 +51,9 @@
     pub body: ChangeBody,
 }
 
-const PRIORITY_MAX: u16 = 1000;
-const NAME_MAX: usize = 64;
-const SHARED_PREFIX_MAX: usize = 256 * 1024;
+const MAX_PRIORITY: u16 = 1000;
+const MAX_NAME_BYTES: usize = 64;
+const MAX_SHARED_PREFIX_BYTES: usize = 256 * 1024;
 
 /// A value an operator may not set.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
@@ -72,7 +72,7 @@
 
 pub(super) fn check_name(field: &'static str, name: &str) -> Result<(), SpecFault> {
     let plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-    if name.is_empty() || name.len() > NAME_MAX || !name.chars().all(plain) {
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.chars().all(plain) {
         return Err(SpecFault::new(field, name, "1 to 64 characters of a-z, 0-9 and '-'"));
     }
     Ok(())
@@ -101,7 +101,7 @@
 impl WorkspaceSpec {
     fn check(&self) -> Result<(), SpecFault> {
         check_name("workspace id", &self.id)?;
-        if self.priority == 0 || self.priority > PRIORITY_MAX {
+        if self.priority == 0 || self.priority > MAX_PRIORITY {
             return Err(SpecFault::new("priority", self.priority, "1 to 1000"));
         }
         Ok(())
@@ -124,7 +124,7 @@
         if self.idle_limit.is_zero() {
             return Err(SpecFault::new("idle_seconds", 0, "at least 1"));
         }
-        if self.shared_prefix.len() > SHARED_PREFIX_MAX {
+        if self.shared_prefix.len() > MAX_SHARED_PREFIX_BYTES {
             let length = self.shared_prefix.len();
             return Err(SpecFault::new("shared_prefix length", length, "at most 262144 bytes"));
         }
--- a/src/core/config/engines.rs
+++ b/src/core/config/engines.rs
@@ -18,7 +18,7 @@
     pub max_away_percent: u8,
 }
 
-const ARTIFACTS_MAX: usize = 256;
+const MAX_ARTIFACTS: usize = 256;
 
 impl EngineGroupSpec {
     pub(super) fn check(&self) -> Result<(), SpecFault> {
@@ -29,7 +29,7 @@
             return Err(SpecFault::new("max_away_percent", self.max_away_percent, "1 to 100"));
         }
         let count = self.artifacts.len();
-        if count > ARTIFACTS_MAX {
+        if count > MAX_ARTIFACTS {
             return Err(SpecFault::new("number of artifacts", count, "at most 256"));
         }
         let mut names = BTreeSet::new();
--- a/src/core/config/source.rs
+++ b/src/core/config/source.rs
@@ -8,7 +8,7 @@
 ///
 /// Each reader answers one question a second of each of the others: eight keep that below a fifth
 /// of a node's bytes for control, and cut the reads to an eighth.
-const GROUP: usize = 8;
+const READER_GROUP_SIZE: usize = 8;
 
 /// Where an instance learns the head.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -28,7 +28,7 @@
         members.map(|member| (xxh3_64(member.as_bytes()), member)).collect();
     ranked.sort_unstable();
     let position = ranked.iter().position(|(_, member)| ***member == *me);
-    let reader = position.map(|position| ranked[position / GROUP * GROUP].1);
+    let reader = position.map(|position| ranked[position / READER_GROUP_SIZE * READER_GROUP_SIZE].1);
     match reader {
         Some(reader) if **reader != *me => HeadSource::Member(reader.clone()),
         _ => HeadSource::Table,
--- a/src/core/config/view.rs
+++ b/src/core/config/view.rs
@@ -58,7 +58,7 @@
 
 /// Changes kept to serve peers that lag. At a change each five seconds these last twenty minutes;
 /// whoever lags further reads the table. More would not fit: a shared prefix has up to 256 KB.
-const LOG_CAPACITY: usize = 256;
+const MAX_LOG_CHANGES: usize = 256;
 
 impl ConfigView {
     pub fn version(&self) -> ConfigVersion {
@@ -82,8 +82,8 @@
         self.version = change.version;
         self.update_current_at();
         self.log.push(change.clone());
-        if self.log.len() > LOG_CAPACITY {
-            self.log.drain(..LOG_CAPACITY / 2);
+        if self.log.len() > MAX_LOG_CHANGES {
+            self.log.drain(..MAX_LOG_CHANGES / 2);
         }
         ApplyOutcome::Applied
     }
