--- a/src/bench/workspace_cores.rs
+++ b/src/bench/workspace_cores.rs
@@ -50,7 +50,7 @@
         (0..OPERATIONS).map(|number| key(number * 7 % count, number % (KEYS + 1))).collect();
     let started = Instant::now();
     for key in &keys {
-        black_box(table.holder(key));
+        black_box(table.find_by_key(key));
     }
     slope("look-up of a key, one in eleven unknown", count, started.elapsed(), OPERATIONS, 0.0)
 }
--- a/src/core/workspaces/mod.rs
+++ b/src/core/workspaces/mod.rs
@@ -8,8 +8,8 @@
 use crate::core::ids::WorkspaceId;
 use crate::core::quotas::QuotaTerms;
 
-pub use name::owned_name;
-pub use table::{KeyProblem, WorkspaceTable};
+pub use name::qualified_name;
+pub use table::{InvalidKey, WorkspaceTable};
 
 /// A secret by which callers show their workspace. It has no text form, so that it cannot slip into
 /// a log line, a metric or an error; looked at whole only where keys are compared.
--- a/src/core/workspaces/table.rs
+++ b/src/core/workspaces/table.rs
@@ -10,7 +10,7 @@
 
 /// A key in a configuration that nobody can use.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
-pub enum KeyProblem {
+pub enum InvalidKey {
     /// It would admit callers that send an empty one.
     #[display("workspace '{workspace}' has an empty key, which is ignored")]
     Empty { workspace: WorkspaceId },
@@ -24,7 +24,7 @@
 pub struct WorkspaceTable {
     by_key: HashMap<ApiKey, Rc<WorkspaceSpec>>,
     by_name: HashMap<WorkspaceId, Rc<WorkspaceSpec>>,
-    problems: Vec<KeyProblem>,
+    invalid_keys: Vec<InvalidKey>,
 }
 
 impl WorkspaceTable {
@@ -34,25 +34,25 @@
         for spec in specs {
             let spec = Rc::new(spec);
             for key in &spec.keys {
-                let problem = table.add_key(key, &spec);
-                table.problems.extend(problem);
+                let invalid = table.add_key(key, &spec);
+                table.invalid_keys.extend(invalid);
             }
             table.by_name.entry(spec.name.clone()).or_insert(spec);
         }
         table
     }
 
-    fn add_key(&mut self, key: &ApiKey, spec: &Rc<WorkspaceSpec>) -> Option<KeyProblem> {
+    fn add_key(&mut self, key: &ApiKey, spec: &Rc<WorkspaceSpec>) -> Option<InvalidKey> {
         if key.is_empty() {
-            return Some(KeyProblem::Empty { workspace: spec.name.clone() });
+            return Some(InvalidKey::Empty { workspace: spec.name.clone() });
         }
         let holder = self.by_key.entry(key.clone()).or_insert_with(|| spec.clone());
         let shared = holder.name != spec.name;
-        shared.then(|| KeyProblem::Shared { holder: holder.name.clone(), other: spec.name.clone() })
+        shared.then(|| InvalidKey::Shared { holder: holder.name.clone(), other: spec.name.clone() })
     }
 
     /// The workspace that holds a key.
-    pub fn holder(&self, key: &ApiKey) -> Option<&Rc<WorkspaceSpec>> {
+    pub fn find_by_key(&self, key: &ApiKey) -> Option<&Rc<WorkspaceSpec>> {
         self.by_key.get(key)
     }
 
@@ -61,8 +61,8 @@
     }
 
     /// Keys that cannot be used.
-    pub fn problems(&self) -> &[KeyProblem] {
-        &self.problems
+    pub fn invalid_keys(&self) -> &[InvalidKey] {
+        &self.invalid_keys
     }
 
     pub fn len(&self) -> usize {
--- a/src/gateway/call/access.rs
+++ b/src/gateway/call/access.rs
@@ -84,7 +84,7 @@
     let route = table.find(&request.host, request.path()).ok_or(CallDenial::NoSuchRoute)?;
     let workspace = match (table.workspaces(), key) {
         (None, _) => None,
-        (Some(workspaces), Some(key)) => workspaces.holder(key).cloned(),
+        (Some(workspaces), Some(key)) => workspaces.find_by_key(key).cloned(),
         (Some(_), None) => None,
     };
     if table.workspaces().is_some() && workspace.is_none() && !route.is_open {
--- a/src/gateway/call/turn.rs
+++ b/src/gateway/call/turn.rs
@@ -14,7 +14,7 @@
     DEFAULT_RETENTION, LineHolder, LineName, ProgramName, TurnId, TurnRecord, TurnScope,
 };
 use crate::core::upstreams::UpstreamChoice;
-use crate::core::workspaces::owned_name;
+use crate::core::workspaces::qualified_name;
 use crate::gateway::attempt::{AttemptLog, chain_body};
 use crate::gateway::events::EventParser;
 use crate::gateway::refusal::Refusal;
@@ -58,7 +58,7 @@
     /// None if the call names no program.
     fn of(call: &CallContext) -> Option<Self> {
         let workspace = call.workspace.as_ref().map(|workspace| &workspace.name);
-        let own = |name: &str| owned_name(workspace, name);
+        let own = |name: &str| qualified_name(workspace, name);
         Some(Self {
             program: own(call.head.program.as_deref()?),
             turn: own(&call.id),
--- a/src/gateway/news/mod.rs
+++ b/src/gateway/news/mod.rs
@@ -197,7 +197,7 @@
             workspaces.map_or("open".into(), |workspaces| workspaces.len().to_string()),
             self.is_led()
         );
-        for problem in workspaces.map_or(&[][..], |workspaces| workspaces.problems()) {
+        for problem in workspaces.map_or(&[][..], |workspaces| workspaces.invalid_keys()) {
             log::error!("event=key_unusable version={version} problem=\"{problem}\"");
         }
     }
--- a/tests/platform_workspaces.rs
+++ b/tests/platform_workspaces.rs
@@ -27,7 +27,7 @@
     let table = table.expect("it is valid").expect("it is the configuration");
     let workspaces = table.workspaces().expect("it names some");
     let names: Vec<_> = ["k1", "k2", "k3", "k4"]
-        .map(|key| workspaces.holder(&ApiKey::new(key)).map(|holder| holder.name.clone()))
+        .map(|key| workspaces.find_by_key(&ApiKey::new(key)).map(|holder| holder.name.clone()))
         .into();
     insta::assert_debug_snapshot!(
         (names, workspaces.get("acme"), workspaces.get("free"), workspaces.get("locked")),
--- a/tests/quota_limits.rs
+++ b/tests/quota_limits.rs
@@ -8,7 +8,7 @@
     QuotaMember, QuotaQuestion, QuotaReply, QuotaShare, QuotaTerms, QuotaView, TokenBucket,
     WorkspaceLimiter,
 };
-use merlinsaddle::core::workspaces::owned_name;
+use merlinsaddle::core::workspaces::qualified_name;
 use rstest::rstest;
 use tokio::time::{Instant, advance};
 
@@ -380,8 +380,8 @@
 #[test]
 fn names_of_two_workspaces_never_meet() {
     let names = [("a", "b/c"), ("a/b", "c"), ("1:a", "b/c"), ("a/", "b/c"), ("", "a/b/c")];
-    let owned = names.map(|(workspace, name)| owned_name(Some(&workspace.into()), name));
+    let owned = names.map(|(workspace, name)| qualified_name(Some(&workspace.into()), name));
     let distinct: std::collections::BTreeSet<_> = owned.iter().collect();
     assert_eq!(distinct.len(), names.len(), "{owned:?}");
-    assert_eq!(&*owned_name(None, "p"), "p");
+    assert_eq!(&*qualified_name(None, "p"), "p");
 }
