--- a/src/core/config/change.rs
+++ b/src/core/config/change.rs
@@ -58,22 +58,22 @@
 /// A value an operator may not set.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{field} is '{value}', but must be {allowed}")]
-pub struct SpecFault {
+pub struct InvalidSpec {
     pub field: &'static str,
     pub value: Box<str>,
     pub allowed: &'static str,
 }
 
-impl SpecFault {
+impl InvalidSpec {
     pub(super) fn new(field: &'static str, value: impl ToString, allowed: &'static str) -> Self {
         Self { field, value: value.to_string().into(), allowed }
     }
 }
 
-pub(super) fn check_name(field: &'static str, name: &str) -> Result<(), SpecFault> {
+pub(super) fn check_name(field: &'static str, name: &str) -> Result<(), InvalidSpec> {
     let plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
     if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.chars().all(plain) {
-        return Err(SpecFault::new(field, name, "1 to 64 characters of a-z, 0-9 and '-'"));
+        return Err(InvalidSpec::new(field, name, "1 to 64 characters of a-z, 0-9 and '-'"));
     }
     Ok(())
 }
@@ -89,7 +89,7 @@
     }
 
     /// Checks the values by themselves.
-    pub fn check(&self) -> Result<(), SpecFault> {
+    pub fn check(&self) -> Result<(), InvalidSpec> {
         match self {
             Self::Workspace(spec) => spec.check(),
             Self::Definition(spec) => spec.check(),
@@ -99,34 +99,34 @@
 }
 
 impl WorkspaceSpec {
-    fn check(&self) -> Result<(), SpecFault> {
+    fn check(&self) -> Result<(), InvalidSpec> {
         check_name("workspace id", &self.id)?;
         if self.priority == 0 || self.priority > MAX_PRIORITY {
-            return Err(SpecFault::new("priority", self.priority, "1 to 1000"));
+            return Err(InvalidSpec::new("priority", self.priority, "1 to 1000"));
         }
         Ok(())
     }
 }
 
 impl DefinitionSpec {
-    fn check(&self) -> Result<(), SpecFault> {
+    fn check(&self) -> Result<(), InvalidSpec> {
         check_name("definition name", &self.name)?;
         check_name("workspace id", &self.workspace)?;
         if self.model.is_empty() {
-            return Err(SpecFault::new("model", &self.model, "the name of a model"));
+            return Err(InvalidSpec::new("model", &self.model, "the name of a model"));
         }
         if self.max_turns == 0 {
-            return Err(SpecFault::new("max_turns", self.max_turns, "at least 1"));
+            return Err(InvalidSpec::new("max_turns", self.max_turns, "at least 1"));
         }
         if self.max_tokens == 0 {
-            return Err(SpecFault::new("max_tokens", self.max_tokens, "at least 1"));
+            return Err(InvalidSpec::new("max_tokens", self.max_tokens, "at least 1"));
         }
         if self.idle_limit.is_zero() {
-            return Err(SpecFault::new("idle_seconds", 0, "at least 1"));
+            return Err(InvalidSpec::new("idle_seconds", 0, "at least 1"));
         }
         if self.shared_prefix.len() > MAX_SHARED_PREFIX_BYTES {
             let length = self.shared_prefix.len();
-            return Err(SpecFault::new("shared_prefix length", length, "at most 262144 bytes"));
+            return Err(InvalidSpec::new("shared_prefix length", length, "at most 262144 bytes"));
         }
         Ok(())
     }
--- a/src/core/config/engines.rs
+++ b/src/core/config/engines.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::change::{SpecFault, check_name};
+use super::change::{InvalidSpec, check_name};
 use crate::core::orders::{EngineArtifact, EngineRole};
 
 /// The wanted state of all engines of one model.
@@ -21,23 +21,23 @@
 const MAX_ARTIFACTS: usize = 256;
 
 impl EngineGroupSpec {
-    pub(super) fn check(&self) -> Result<(), SpecFault> {
+    pub(super) fn check(&self) -> Result<(), InvalidSpec> {
         if self.model.is_empty() {
-            return Err(SpecFault::new("model", &self.model, "the name of a model"));
+            return Err(InvalidSpec::new("model", &self.model, "the name of a model"));
         }
         if !(1..=100).contains(&self.max_away_percent) {
-            return Err(SpecFault::new("max_away_percent", self.max_away_percent, "1 to 100"));
+            return Err(InvalidSpec::new("max_away_percent", self.max_away_percent, "1 to 100"));
         }
         let count = self.artifacts.len();
         if count > MAX_ARTIFACTS {
-            return Err(SpecFault::new("number of artifacts", count, "at most 256"));
+            return Err(InvalidSpec::new("number of artifacts", count, "at most 256"));
         }
         let mut names = BTreeSet::new();
         for artifact in &self.artifacts {
             check_name("artifact name", &artifact.name)?;
             check_name("artifact version", &artifact.version)?;
             if !names.insert(&artifact.name) {
-                return Err(SpecFault::new("artifact name", &artifact.name, "named once"));
+                return Err(InvalidSpec::new("artifact name", &artifact.name, "named once"));
             }
         }
         Ok(())
--- a/src/core/config/mod.rs
+++ b/src/core/config/mod.rs
@@ -5,7 +5,7 @@
 mod source;
 mod view;
 
-pub use change::{ChangeBody, ConfigChange, DefinitionSpec, SpecFault, WorkspaceSpec};
+pub use change::{ChangeBody, ConfigChange, DefinitionSpec, InvalidSpec, WorkspaceSpec};
 pub use engines::EngineGroupSpec;
 pub use source::{HeadSource, head_source};
 pub use view::{ApplyOutcome, ConfigView, HeadBound, Versioned};
--- a/src/core/config/view.rs
+++ b/src/core/config/view.rs
@@ -94,7 +94,7 @@
     }
 
     /// Ends the loading of a snapshot.
-    pub fn loaded(&mut self, version: ConfigVersion) {
+    pub fn finish_load(&mut self, version: ConfigVersion) {
         self.version = self.version.max(version);
         self.head = self.head.max(version);
         self.update_current_at();
--- a/src/node/config_sync.rs
+++ b/src/node/config_sync.rs
@@ -10,7 +10,7 @@
 use super::platform::{CommitReply, RowKey, StoreError, TableTransaction, parse_row, scan_all};
 use crate::core::budget::BudgetRow;
 use crate::core::config::{
-    ApplyOutcome, ChangeBody, ConfigChange, HeadSource, SpecFault, WorkspaceSpec, head_source,
+    ApplyOutcome, ChangeBody, ConfigChange, HeadSource, InvalidSpec, WorkspaceSpec, head_source,
 };
 use crate::core::ids::ConfigVersion;
 use crate::core::members::GossipMessage;
@@ -61,8 +61,8 @@
     },
 }
 
-impl From<SpecFault> for ChangeError {
-    fn from(fault: SpecFault) -> Self {
+impl From<InvalidSpec> for ChangeError {
+    fn from(fault: InvalidSpec) -> Self {
         Self::Invalid(fault.to_string().into())
     }
 }
@@ -194,7 +194,7 @@
             let change: ConfigChange = parse_row(&found.row)?;
             self.config.borrow_mut().load(change.version, &change.body);
         }
-        self.config.borrow_mut().loaded(head);
+        self.config.borrow_mut().finish_load(head);
         self.saw_config_head(head, read_at);
         Ok(())
     }
--- a/tests/config_view.rs
+++ b/tests/config_view.rs
@@ -126,7 +126,7 @@
                 for (_, change) in &log.changes {
                     test.view.load(change.version, &change.body);
                 }
-                test.view.loaded(log.changes.len().saturating_sub(missed) as u64);
+                test.view.finish_load(log.changes.len().saturating_sub(missed) as u64);
             }
             Step::ObserveHead { millis_ago } => {
                 let then = log.now - millis_ago;
