--- a/src/core/routing/table.rs
+++ b/src/core/routing/table.rs
@@ -84,7 +84,7 @@
 #[derive(Debug, Default)]
 pub struct TableView {
     current: Option<Rc<RouteTable>>,
-    confirmed: Option<Instant>,
+    confirmed_at: Option<Instant>,
 }
 
 impl TableView {
@@ -102,7 +102,7 @@
 
     /// Notes that the store had nothing newer at `now`.
     pub fn confirm(&mut self, now: Instant) {
-        self.confirmed = Some(now);
+        self.confirmed_at = Some(now);
     }
 
     pub fn current(&self) -> Option<Rc<RouteTable>> {
@@ -110,7 +110,7 @@
     }
 
     /// When the table in force was last known to be the newest.
-    pub fn confirmed(&self) -> Option<Instant> {
-        self.confirmed
+    pub fn confirmed_at(&self) -> Option<Instant> {
+        self.confirmed_at
     }
 }
--- a/src/core/upstreams/choice.rs
+++ b/src/core/upstreams/choice.rs
@@ -160,7 +160,7 @@
         let step = if request.affinity.is_some() { RANK_COST_MS } else { TIE_BREAK_COST_MS / 16.0 };
         let mut cost = rank.min(MAX_RANKED) as f64 * step;
         cost += f64::from(known.health.running) * RUNNING_COST_MS;
-        cost += known.load.at(request.now);
+        cost += known.load.value_at(request.now);
         cost += self.prefill_ms(known, request) * PREFILL_FACTOR;
         let slowness = known.health.latency_ratio(request.now) - LATENCY_RATIO_TOLERANCE;
         cost += slowness.max(0.0) * REQUEST_COST_MS;
--- a/src/core/upstreams/health.rs
+++ b/src/core/upstreams/health.rs
@@ -64,14 +64,14 @@
 
 impl RecentLoad {
     /// Work of the last second or so, in milliseconds.
-    pub fn at(&self, now: Instant) -> f64 {
+    pub fn value_at(&self, now: Instant) -> f64 {
         let Some(at) = self.at else { return 0.0 };
         let age = now.saturating_duration_since(at).as_secs_f64() / LOAD_DECAY.as_secs_f64();
         self.millis * (-age).exp()
     }
 
     pub fn add(&mut self, millis: f64, now: Instant) {
-        self.millis = self.at(now) + millis;
+        self.millis = self.value_at(now) + millis;
         self.at = Some(now);
     }
 }
--- a/src/core/upstreams/table.rs
+++ b/src/core/upstreams/table.rs
@@ -43,7 +43,7 @@
     pub(super) health: UpstreamHealth,
     pub(super) load: RecentLoad,
     /// When this life of the upstream was first heard of.
-    since: Instant,
+    first_seen: Instant,
     /// Whether the entry vanished about an outage of the store.
     expired_in_outage: bool,
 }
@@ -51,7 +51,7 @@
 impl TrackedUpstream {
     fn new(entry: UpstreamEntry, now: Instant) -> Self {
         let (health, load) = (UpstreamHealth::default(), RecentLoad::default());
-        Self { entry, health, load, since: now, expired_in_outage: false }
+        Self { entry, health, load, first_seen: now, expired_in_outage: false }
     }
 
     /// Takes in another entry of the same life; true if it changes what may be chosen.
@@ -119,7 +119,7 @@
         }
         if let Some(started_at) = entry.started_at {
             self.start_times.insert(entry.id.clone(), started_at);
-            self.trim_start_times();
+            self.prune_start_times();
         }
         match self.upstreams.get_mut(&entry.id) {
             Some(known) => known.refresh(entry),
@@ -163,7 +163,7 @@
         std::mem::take(&mut self.stale_addresses)
     }
 
-    fn trim_start_times(&mut self) {
+    fn prune_start_times(&mut self) {
         if self.start_times.len() > MAX_START_TIMES {
             let listed = &self.upstreams;
             self.start_times.retain(|id, _| listed.contains_key(id));
@@ -294,7 +294,7 @@
     /// The upstream whose present life got an attempt that began then; what happens to attempts at a
     /// former life says nothing about it.
     fn tracked_since(&mut self, id: &str, started: Instant) -> Option<&mut TrackedUpstream> {
-        self.upstreams.get_mut(id).filter(|known| known.since <= started)
+        self.upstreams.get_mut(id).filter(|known| known.first_seen <= started)
     }
 
     /// Notes a time that tells how fast an upstream works, in milliseconds. It is held against the
--- a/src/gateway/news/mod.rs
+++ b/src/gateway/news/mod.rs
@@ -101,7 +101,7 @@
 
     /// How long ago the routes were last read or confirmed; zero while none are known.
     pub(crate) fn routes_age(&self) -> Duration {
-        self.routes.borrow().confirmed().map_or(Duration::ZERO, |at| at.elapsed())
+        self.routes.borrow().confirmed_at().map_or(Duration::ZERO, |at| at.elapsed())
     }
 
     /// Whether requests can be served: routes and upstreams have been read at least once.
@@ -131,7 +131,7 @@
     }
 
     fn has_fresh_routes(&self) -> bool {
-        let confirmed = self.routes.borrow().confirmed();
+        let confirmed = self.routes.borrow().confirmed_at();
         let paused = self.routes_asked.get().is_some_and(|asked| asked.is_paused());
         confirmed.is_some_and(|at| at.elapsed() < FRESH) && !paused
     }
