--- a/tests/config_view.rs
+++ b/tests/config_view.rs
@@ -176,5 +176,5 @@
     /// Changes, snapshots and words of the head reach a view in any order, late and repeated. The
     /// view must never go back, skip a change, or pass for current while it misses one.
     #[test]
-    fn the_view_agrees_with_the_change_log(sequential 1..60 => ViewTest);
+    fn view_agrees_with_the_change_log(sequential 1..60 => ViewTest);
 }
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -52,7 +52,7 @@
 #[case("b.example", "/shop/x", Some("/shop/"))]
 #[case("b.example", "/", None)]
 #[case("c.example", "/shop/x", None)]
-fn the_longest_prefix_of_the_host_wins(
+fn longest_prefix_of_the_host_is_chosen(
     #[case] host: &str,
     #[case] path: &str,
     #[case] expected: Option<&str>,
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_split_is_shared_out_by_weight() {
+fn requests_are_split_by_weight() {
     let route = route("a", "/", &[("new", 10), ("none", 0), ("old", 90)]);
     let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
     for step in 0..1_000_u32 {
@@ -80,7 +80,7 @@
 
 /// A reply that was under way while a newer one arrived must not bring dropped routes back.
 #[test]
-fn an_older_table_is_not_taken() {
+fn older_table_is_ignored() {
     let mut view = TableView::default();
     assert_eq!(view.update(table(5)), UpdateOutcome::Applied);
     assert_eq!(view.update(table(4)), UpdateOutcome::Old);
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -46,7 +46,7 @@
 /// caller must still get its answer, no instance may be taken for dead, and all tasks must go on:
 /// each round meets another of them waiting for the silent link.
 #[rstest]
-fn every_call_is_answered_across_silent_links(
+fn calls_are_answered_after_links_stall(
     #[values(Link::Platform, Link::Peers, Link::Engines)] link: Link,
 ) {
     run_paused(async move {
@@ -96,7 +96,7 @@
 /// for slots, over links that forget the request. They must try anew within seconds, not sit out
 /// the 30 s that a call may wait in a queue.
 #[test]
-fn a_request_for_a_slot_does_not_wait_on_a_silent_link() {
+fn slot_request_is_retried_after_a_link_stalls() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 10_000_000).await;
@@ -112,11 +112,11 @@
             call.target = CallTarget::Model { max_tokens: 400 };
             call_until_answered(&node, call).await;
         });
-        let mending = async {
+        let recovery = async {
             sleep(Duration::from_millis(200)).await;
             set_silent(&cluster, Link::Peers, false);
         };
-        futures_util::future::join(futures_util::future::join_all(calls), mending).await;
+        futures_util::future::join(futures_util::future::join_all(calls), recovery).await;
         assert!(asked.elapsed() < Duration::from_secs(12), "{:?}", asked.elapsed());
     });
 }
@@ -140,7 +140,7 @@
 /// silent in the middle of streams, one kind after the other, and stays open. Each call must end
 /// with its own complete answer; both instances stay alive and keep their incarnations.
 #[test]
-fn streams_survive_silent_connections() {
+fn streams_survive_stalled_connections() {
     actix_rt::System::new().block_on(async {
         let at = |host: u8, port: u16| format!("{}:{port}", loopback(host));
         let standins = serve_standins(2, Some(&at(2, 7002))).await;
--- a/tests/upstream_choice.rs
+++ b/tests/upstream_choice.rs
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn near_ones_come_first_and_tried_ones_not_again() {
+async fn same_zone_is_preferred_and_tried_upstreams_are_excluded() {
     let table = table(&[("a", "near"), ("b", "far")]);
     assert_eq!(chosen(&table, &request(&[], None)).as_deref(), Some("a"));
     assert_eq!(chosen(&table, &request(&["a".into()], None)).as_deref(), Some("b"));
@@ -66,7 +66,7 @@
 /// The engine of the turn before holds the chain: it is worth a few other requests there, but not
 /// any number, and not one that has turned slow.
 #[tokio::test(start_paused = true)]
-async fn a_chain_stays_where_it_is_until_that_costs_more() {
+async fn chain_stays_at_its_holder_until_that_costs_more() {
     let mut table = table(&[("a", "near"), ("b", "near")]);
     let (holder, blocks) = ("a".into(), long_prompt());
     let turn = |now| ChoiceRequest { blocks: &blocks, now, ..request(&[], Some(&holder)) };
@@ -92,7 +92,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn failing_ones_are_put_aside_and_let_back() {
+async fn failing_upstream_is_ejected_and_returns() {
     let mut table = table(&[("a", "near"), ("b", "far")]);
     table.started("a", 0.0, Instant::now());
     table.ended("a", Instant::now(), AttemptResult::Unreachable, Instant::now());
@@ -110,7 +110,7 @@
 
 /// The news that an upstream drains overtakes an older beat that still calls it ready.
 #[tokio::test(start_paused = true)]
-async fn a_draining_upstream_is_not_revived() {
+async fn draining_upstream_ignores_a_late_ready_entry() {
     let mut table = table(&[("a", "near")]);
     let now = Instant::now();
     table.apply(UpstreamUpdate::Listed(entry("a", "near", UpstreamState::Draining)), now);
@@ -121,7 +121,7 @@
 
 /// Two entries lapse while the store is away. One returns after it; the other is gone.
 #[tokio::test(start_paused = true)]
-async fn lapsed_entries_wait_for_the_stores_return() {
+async fn entries_expired_in_an_outage_are_kept_until_recovery() {
     let mut table = table(&[("a", "near"), ("b", "near")]);
     table.set_store_readable(false, Instant::now());
     table.replace(Vec::new(), Instant::now());
@@ -142,7 +142,7 @@
 /// An upstream leaves just after the store's return, without having said that it drains. It may only
 /// have lapsed, so it stays in use, but no longer than that lasts, whenever the next news comes.
 #[tokio::test(start_paused = true)]
-async fn doubt_about_an_entry_ends_by_itself() {
+async fn deferred_removal_takes_effect_without_further_updates() {
     let mut table = table(&[("a", "near")]);
     table.set_store_readable(false, Instant::now());
     table.set_store_readable(true, Instant::now());
@@ -156,7 +156,7 @@
 /// next turn goes elsewhere; a turn that streams slowly at it is no silence. When the caller of the
 /// silent turn has gone, the engine is put aside like one that failed.
 #[tokio::test(start_paused = true)]
-async fn a_silent_upstream_is_avoided() {
+async fn upstream_without_a_first_byte_is_avoided() {
     let mut table = table(&[("a", "near"), ("b", "near")]);
     let (holder, blocks) = ("a".into(), long_prompt());
     let continued = |table: &UpstreamTable| {
@@ -168,13 +168,13 @@
     table.record_first_byte("a", streaming);
     advance(Duration::from_secs(3)).await;
     assert_eq!(continued(&table).as_deref(), Some("a"));
-    let silent = Instant::now();
-    table.started("a", 0.0, silent);
+    let stalled = Instant::now();
+    table.started("a", 0.0, stalled);
     advance(Duration::from_millis(900)).await;
     assert_eq!(continued(&table).as_deref(), Some("a"));
     advance(Duration::from_millis(400)).await;
     assert_eq!(continued(&table).as_deref(), Some("b"));
-    table.ended("a", silent, AttemptResult::Abandoned, Instant::now());
+    table.ended("a", stalled, AttemptResult::Abandoned, Instant::now());
     assert_eq!(table.ejected_count(Instant::now()), 1);
     advance(Duration::from_secs(1)).await;
     table.ended("a", streaming, AttemptResult::Abandoned, Instant::now());
@@ -188,7 +188,7 @@
 /// An engine drains, ends and starts again under its id. Its new life holds nothing and has failed
 /// nobody: it gets work at once, but not as the holder of what its former life had read.
 #[tokio::test(start_paused = true)]
-async fn a_new_life_starts_from_nothing() {
+async fn new_incarnation_starts_without_state() {
     let mut table = table(&[("b", "near")]);
     let blocks = long_prompt();
     table.apply(incarnation("a", 1_000, UpstreamState::Ready), Instant::now());
@@ -224,7 +224,7 @@
 #[case(Some(1_000))]
 #[case(None)]
 #[tokio::test(start_paused = true)]
-async fn a_former_life_never_returns(#[case] started_at: Option<u64>) {
+async fn entry_of_a_previous_incarnation_is_ignored(#[case] started_at: Option<u64>) {
     let mut table = UpstreamTable::default();
     let former = UpstreamEntry { started_at, ..entry("a", "far", UpstreamState::Draining) };
     table.apply(incarnation("a", 2_000, UpstreamState::Ready), Instant::now());
@@ -240,7 +240,7 @@
 
 /// Guards against chance that outweighs a chain where there are thousands of engines.
 #[tokio::test(start_paused = true)]
-async fn a_chain_stays_where_it_is_among_thousands() {
+async fn chain_stays_at_its_holder_among_thousands() {
     let names: Vec<String> = (0..3_000).map(|number| format!("e{number}")).collect();
     let entries: Vec<_> = names.iter().map(|name| (&**name, "near")).collect();
     let table = table(&entries);
@@ -256,7 +256,7 @@
 
 /// Guards against requests that are refused because the first of thousands have failed.
 #[tokio::test(start_paused = true)]
-async fn any_of_thousands_serves_where_the_first_have_failed() {
+async fn all_upstreams_are_considered_after_the_ranked_ones_failed() {
     let names: Vec<String> = (0..3_000).map(|number| format!("e{number}")).collect();
     let entries: Vec<_> = names.iter().map(|name| (&**name, "near")).collect();
     let mut table = table(&entries);
@@ -273,7 +273,7 @@
 /// Guards against instances that send an object to different upstreams because they have heard of these
 /// in another order.
 #[tokio::test(start_paused = true)]
-async fn an_object_goes_to_the_same_upstream_everywhere() {
+async fn object_maps_to_the_same_upstream_on_every_instance() {
     let names: Vec<String> = (0..200).map(|number| format!("e{number}")).collect();
     let entries: Vec<_> = names.iter().map(|name| (&**name, "near")).collect();
     let mut reversed = entries.clone();
