--- a/src/core/upstreams/mod.rs
+++ b/src/core/upstreams/mod.rs
@@ -1,4 +1,4 @@
-//! Upstreams as the store lists them, how they have behaved, and which one a request goes to.
+//! The upstreams listed in the store, their passive health, and the choice of one for a request.
 
 mod choice;
 mod health;
@@ -16,13 +16,12 @@
 pub use health::{AttemptResult, RecentLoad, UpstreamHealth};
 pub use table::{UpstreamUpdate, UpstreamTable};
 
-/// Name of a part of a prompt; requests whose prompts begin alike name the same parts.
+/// Identifies a block of a prompt; prompts with a common prefix share the ids of its blocks.
 pub type BlockId = Box<str>;
 
-/// When an upstream started, in milliseconds since 1970 by its own clock.
+/// Start time of an upstream in Unix milliseconds, by its own clock.
 pub type StartMillis = u64;
 
-/// Whether an upstream takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum UpstreamState {
     #[display("ready")]
@@ -31,24 +30,23 @@
     Draining,
 }
 
-/// One upstream as it describes itself in the store's list.
+/// An upstream's own entry in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamEntry {
-    /// An upstream that starts again may keep it; `born` tells its lives apart.
+    /// May be kept across restarts; `started_at` distinguishes the incarnations.
     pub id: UpstreamId,
-    /// Absent where upstreams get a new id at each start.
+    /// Absent where every incarnation has a new id.
     pub started_at: Option<StartMillis>,
     pub service: ServiceName,
     pub address: Box<str>,
     pub zone: Box<str>,
-    /// Requests it runs at once.
+    /// Maximum concurrent requests.
     pub slots: u32,
     pub state: UpstreamState,
-    /// How much longer it is slow after its start.
+    /// Remaining warm-up time after the start.
     pub warming: Duration,
 }
 
-/// One part of a prompt, in the prompt's order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromptBlock {
     pub id: BlockId,
