--- a/src/core/upstreams/health.rs
+++ b/src/core/upstreams/health.rs
@@ -1,69 +1,61 @@
-//! What real answers tell of an upstream; nothing is sent just to learn it.
+//! Passive health of an upstream, derived from its answers to real requests.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Shortest time an upstream is passed over after a failure: a restart of its process takes
-/// about as long.
+/// About the time that a restart of the process takes.
 const MIN_EJECTION: Duration = Duration::from_millis(500);
-/// Longest time it is passed over; then one request may try it again.
 const MAX_EJECTION: Duration = Duration::from_secs(4);
-/// How long an upstream that was full is passed over: a few of its shortest requests end meanwhile.
+/// Long enough for some short requests to complete.
 const FULL_EJECTION: Duration = Duration::from_millis(60);
-/// Broken answers in a row before an upstream is passed over: single ones befall sound upstreams.
+/// Consecutive broken answers before ejection: healthy upstreams break single ones off too.
 const BROKEN_THRESHOLD: u32 = 2;
-/// Share of the newest measurement in the running mean: about the last four count.
 const LATENCY_RATIO_WEIGHT: f64 = 0.25;
-/// Time in which what was measured fades to 1/e: an upstream that is passed over for being slow is
-/// tried again, and one that is still slow is found out by a few requests.
+/// A slow upstream that gets no requests yields no samples; the decay lets it be tried again.
 const LATENCY_RATIO_DECAY: Duration = Duration::from_secs(3);
 
-/// Silence of an attempt that says something about the upstream.
+/// Wait for the first byte beyond which an attempt counts against the upstream.
 const FIRST_BYTE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How one attempt at an upstream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// A whole answer.
     Answered,
-    /// It refused, unrun, for want of room.
+    /// Rejected for lack of capacity without being run.
     Full,
     /// No connection, or another upstream answers at its address.
     Unreachable,
-    /// The answer broke off or was not an answer.
+    /// The answer was truncated or malformed.
     Broken,
-    /// The caller left, or its deadline passed. It tells something only if the upstream had not said
-    /// a word for long.
+    /// The caller disconnected or its deadline passed. Counts as a failure only if the first byte
+    /// was overdue.
     Abandoned,
 }
 
-/// The passive health of one upstream.
 #[derive(Debug, Clone, Default)]
 pub struct UpstreamHealth {
-    /// Attempts under way from this instance.
+    /// Attempts of this instance in flight.
     pub running: u32,
     failures: u32,
     broken: u32,
     ejected_until: Option<Instant>,
     latency_ratio: Option<(f64, Instant)>,
-    /// When the attempts began of which nothing was heard yet.
+    /// Start times of the attempts without a first byte.
     awaiting_first_byte: Vec<Instant>,
 }
 
-/// Work given to an upstream lately, fading with time: a rate, without counting it anew.
+/// Expected work of the attempts started at an upstream, as a sum with exponential decay.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RecentLoad {
     millis: f64,
     at: Option<Instant>,
 }
 
-/// Time in which noted work fades to 1/e: some ten turns of an instance, and short against the
-/// seconds in which load moves.
+/// Short against the seconds in which load shifts between upstreams.
 const LOAD_DECAY: Duration = Duration::from_secs(1);
 
 impl RecentLoad {
-    /// Work of the last second or so, in milliseconds.
+    /// The decayed sum in milliseconds.
     pub fn value_at(&self, now: Instant) -> f64 {
         let Some(at) = self.at else { return 0.0 };
         let age = now.saturating_duration_since(at).as_secs_f64() / LOAD_DECAY.as_secs_f64();
@@ -77,19 +69,17 @@
 }
 
 impl UpstreamHealth {
-    /// An attempt begins.
     pub fn started(&mut self, now: Instant) {
         self.running += 1;
         self.awaiting_first_byte.push(now);
     }
 
-    /// The first bytes came of the attempt that began then; false if it was heard of before.
+    /// Returns false if the attempt that started at `started` is not waiting for its first byte.
     pub fn record_first_byte(&mut self, started: Instant) -> bool {
         let position = self.awaiting_first_byte.iter().position(|at| *at == started);
         position.map(|position| self.awaiting_first_byte.swap_remove(position)).is_some()
     }
 
-    /// The attempt that began then has ended.
     pub fn ended(&mut self, started: Instant, result: AttemptResult, now: Instant) {
         self.running = self.running.saturating_sub(1);
         let overdue = self.record_first_byte(started) && started + FIRST_BYTE_TIMEOUT <= now;
@@ -99,7 +89,7 @@
         }
     }
 
-    /// How much longer than usual it has left an attempt without a word.
+    /// Time by which the oldest attempt without a first byte is overdue.
     pub fn first_byte_overdue(&self, now: Instant) -> Duration {
         let oldest = self.awaiting_first_byte.iter().min();
         let waited = oldest.map_or(Duration::ZERO, |at| now.saturating_duration_since(*at));
@@ -125,13 +115,13 @@
         }
     }
 
-    /// Notes a time measured against the usual one: 1.0 is usual.
+    /// Adds a sample of latency divided by the mean of the service.
     pub fn observe_latency_ratio(&mut self, ratio: f64, now: Instant) {
         let mean = self.latency_ratio(now);
         self.latency_ratio = Some((mean + LATENCY_RATIO_WEIGHT * (ratio - mean), now));
     }
 
-    /// How slow it is; 1.0 is usual.
+    /// Moving average that decays towards 1.0, the mean of the service.
     pub fn latency_ratio(&self, now: Instant) -> f64 {
         let Some((mean, at)) = self.latency_ratio else { return 1.0 };
         let age = now.saturating_duration_since(at).as_secs_f64() / LATENCY_RATIO_DECAY.as_secs_f64();
