--- a/src/core/upstreams/index.rs
+++ b/src/core/upstreams/index.rs
@@ -1,4 +1,4 @@
-//! Upstreams by service, in a form that a choice among thousands can look through.
+//! Index of upstreams by service, ordered per key without sorting thousands of entries.
 
 use std::collections::HashMap;
 
@@ -8,10 +8,9 @@
 use crate::core::ids::UpstreamId;
 use crate::core::routing::ServiceName;
 
-/// Entries that are put in order at first; few of them are not usable.
+/// Entries sorted at first. Visits seldom go beyond them, as most entries are available.
 const PARTIAL_SORT_LEN: usize = 64;
 
-/// What a choice needs to know of an upstream that it does not look at closer.
 #[derive(Debug)]
 struct IndexEntry {
     id: UpstreamId,
@@ -19,13 +18,12 @@
     zone_hash: u64,
 }
 
-/// The upstreams of each service.
 #[derive(Debug, Default)]
 pub(super) struct ServiceIndex {
     services: HashMap<ServiceName, Vec<IndexEntry>>,
 }
 
-/// Spreads the bits of a number over all others.
+/// Bit mixer: every input bit affects the others, so that each key yields its own order.
 fn mix(value: u64) -> u64 {
     let value = (value ^ (value >> 32)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     value ^ (value >> 29)
@@ -50,8 +48,8 @@
         }
     }
 
-    /// Passes on the upstreams of a service in the order of a key, those of a zone first, until enough
-    /// were taken. The order of a key is the same at every instance.
+    /// Visits the upstreams of a service in the order of `key`, those of `zone` first, until `visit`
+    /// returns false. The order is the same on every instance.
     pub(super) fn visit<'a>(
         &'a self,
         service: &str,
