--- a/src/core/upstreams/choice.rs
+++ b/src/core/upstreams/choice.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request goes to.
+//! Chooses the upstream with the lowest expected cost for a request.
 
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
@@ -7,83 +7,77 @@
 use super::{StartMillis, PromptBlock, UpstreamTable};
 use crate::core::ids::UpstreamId;
 
-/// Prompt tokens that an engine is taken to read in a millisecond.
+/// Assumed prefill rate of an engine.
 const PREFILL_TOKENS_PER_MS: f64 = 32.0;
-/// Weight of reading a prompt anew against waiting: it also delays all others at that engine.
+/// Prefill weighs more than waiting because it also delays all other requests at the engine.
 const PREFILL_FACTOR: f64 = 2.0;
-/// Tokens of new input that the engine of the turn before reads; a usual turn's.
+/// Tokens of new input assumed where the engine holds the previous turn.
 const NEW_INPUT_TOKENS: u64 = 1_000;
-/// Delay that each request of this instance at an engine adds, in milliseconds: others' prompts
-/// are read between its tokens.
+/// Delay for each request in flight: prefills of others run between its tokens.
 const RUNNING_COST_MS: f64 = 3.0;
-/// What an upstream in another zone costs, in milliseconds: the longer way and the priced bytes.
+/// Covers the longer round trip and the price of cross-zone traffic.
 const CROSS_ZONE_COST_MS: f64 = 30.0;
-/// Difference between one upstream and the next in an object's order, in milliseconds. It gathers
-/// the requests about an object on the same upstreams of all instances, and yields to load.
+/// Cost of each rank in the order of an affinity key. It concentrates a key's requests on the same
+/// upstreams across instances, but yields to load.
 const RANK_COST_MS: f64 = 6.0;
-/// Upstreams of an order that a choice looks at, and the last place that costs more than the one before:
-/// among thousands, chance and the order of an object must not outweigh what an upstream holds.
+/// Upstreams taken from the order, and the rank beyond which the cost stays constant: among
+/// thousands, the rank must not outweigh a cached prompt.
 const MAX_RANKED: usize = 32;
-/// Upstreams that hold part of a prompt at which a choice looks besides.
+/// Holders of prompt blocks that are considered in addition to the ranked upstreams.
 const MAX_HOLDERS: usize = 64;
-/// Difference that chance makes between upstreams that cost the same, in milliseconds.
+/// Spreads requests without an affinity key over upstreams of equal cost.
 const TIE_BREAK_COST_MS: f64 = 2.0;
-/// What a new connection costs, in milliseconds: a way there and back, and its price.
+/// Covers a round trip and the price of a new connection.
 const CONNECT_COST_MS: f64 = 10.0;
-/// Weight of an upstream's unusual silence: after another half second it costs more than reading any
-/// usual prompt anew elsewhere, while answers that are only late pass.
+/// Weight of an overdue first byte: an upstream that stalls soon costs more than a prefill elsewhere,
+/// one that is only late does not.
 const OVERDUE_FACTOR: f64 = 3.0;
-/// What an upstream that failed lately costs: it is taken only where there is no other.
+/// High enough that an ejected upstream is chosen only as a last resort.
 const EJECTED_COST_MS: f64 = 10_000.0;
-/// Usual time of a request apart from its prompt, in milliseconds; a slow upstream multiplies it.
+/// Typical duration of a request without prefill; multiplied by the excess latency ratio.
 const REQUEST_COST_MS: f64 = 300.0;
-/// Slowness that is taken for chance: times of single requests differ by about as much.
+/// Latency ratio within the variance of single requests.
 const LATENCY_RATIO_TOLERANCE: f64 = 1.3;
 
-/// What a request asks of an upstream.
 #[derive(Clone, Copy)]
 pub struct ChoiceRequest<'a> {
     pub service: &'a str,
     /// The zone of this instance.
     pub zone: &'a str,
     pub blocks: &'a [PromptBlock],
-    /// The engine that holds what the request continues from.
+    /// The engine that holds the turn that the request continues.
     pub holder: Option<&'a UpstreamId>,
-    /// What requests share that go best to the same upstream.
+    /// Requests with the same key prefer the same upstreams.
     pub affinity: Option<&'a str>,
-    /// Upstreams that have been tried.
+    /// Upstreams to exclude.
     pub tried: &'a [UpstreamId],
-    /// Whether an idle connection to an address is kept.
+    /// Returns whether the pool has an idle connection to an address.
     pub connected: &'a dyn Fn(&str) -> bool,
-    /// A number that makes equal candidates differ from instance to instance.
+    /// Random number that orders the candidates of a request without an affinity key.
     pub salt: u64,
     pub now: Instant,
 }
 
-/// A chosen upstream, and why.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UpstreamChoice {
     pub id: UpstreamId,
     pub started_at: Option<StartMillis>,
     pub address: Box<str>,
-    /// What the choice is expected to cost, in milliseconds.
     pub cost_ms: f64,
     pub candidates: usize,
-    /// Attempts of this instance under way there.
+    /// Attempts of this instance in flight there.
     pub running: u32,
-    /// Time the upstream is expected to read the prompt, in milliseconds.
     pub prefill_ms: f64,
 }
 
-/// An upstream that may be chosen, with its place in the request's order.
+/// A candidate with its rank in the order of the request.
 type RankedUpstream<'a> = (usize, &'a TrackedUpstream);
 
 impl UpstreamTable {
-    /// The cheapest ready upstream that was not tried yet.
     pub fn choose(&self, request: &ChoiceRequest<'_>) -> Option<UpstreamChoice> {
         let ranked = self.candidates(request, MAX_RANKED);
         let found = self.cheapest(&ranked, request);
-        // Where all of these have failed, any other may be better.
+        // If all of these are ejected, an upstream outside them may not be.
         let failed = found.is_none_or(|(cost, _)| cost >= EJECTED_COST_MS);
         let (candidates, (cost_ms, known)) = if failed {
             let all = self.candidates(request, usize::MAX);
@@ -112,9 +106,8 @@
         priced.min_by(|(a, _), (b, _)| a.total_cmp(b))
     }
 
-    /// The first upstreams in the order of the request's object, which is the same on every instance,
-    /// or by chance, and whatever else may be cheaper: those that hold part of its prompt, and those to
-    /// which connections may be kept.
+    /// The first `max` upstreams in the order of the affinity key or the salt, and others that may be
+    /// cheaper: holders of prompt blocks and upstreams that may have an idle connection.
     fn candidates<'a>(
         &'a self,
         request: &ChoiceRequest<'_>,
@@ -131,7 +124,7 @@
         if ranked.len() < max {
             return ranked;
         }
-        // The last parts are a program's own, so those that hold them hold most of the prompt.
+        // The last blocks are specific to a program: their holders have most of the prompt cached.
         let blocks = request.blocks.iter().rev();
         let holders = blocks.filter_map(|block| self.resident.get(&block.id)).flatten();
         let known = holders.take(MAX_HOLDERS).chain(self.recent.keys());
@@ -179,10 +172,10 @@
         cost
     }
 
-    /// Time to read what of the prompt the upstream is not known to hold, in milliseconds.
+    /// Time to read the blocks that the upstream is not known to have cached.
     ///
-    /// A part counts only if all parts before it are held too; the engine that ran the turn before
-    /// holds all but the new input.
+    /// A block is cached only if all blocks before it are. The engine that ran the previous turn has
+    /// all but the new input.
     fn prefill_ms(&self, known: &TrackedUpstream, request: &ChoiceRequest<'_>) -> f64 {
         if request.holder == Some(&known.entry.id) {
             let last = request.blocks.last().map_or(0, |block| block.tokens);
