--- a/src/core/upstreams/table.rs
+++ b/src/core/upstreams/table.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams as this instance knows it.
+//! The upstreams known to this instance, with their health and cached prompt blocks.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
@@ -12,25 +12,21 @@
 use crate::core::ids::UpstreamId;
 use crate::core::routing::ServiceName;
 
-/// Entries that lapse while the store is away return within about two seconds of its return; the
-/// rest is the way of the news to this instance.
+/// Upstreams rewrite entries that expired in an outage soon after the recovery, and the change feed
+/// then delivers them.
 const RECOVERY_GRACE: Duration = Duration::from_millis(2_300);
-/// Share of the newest measurement in a service's running mean: some hundred count.
 const BASELINE_LATENCY_WEIGHT: f64 = 0.01;
-/// Records of which upstream has read which part; 20,000 take some 2 MB.
 const MAX_RESIDENT_BLOCKS: usize = 20_000;
 
-/// Births remembered of upstreams that are gone; beyond that those of listed ones remain. 10,000 take
-/// some 0.5 MB.
+/// Beyond it, start times of upstreams that are no longer listed are dropped.
 const MAX_START_TIMES: usize = 10_000;
 
-/// How long ago an attempt may be for its upstream to be looked at by every choice: connections are
-/// kept for some seconds.
+/// Upstreams with an attempt within this window may have an idle connection, so every choice
+/// considers them.
 const RECENT_WINDOW: Duration = Duration::from_secs(5);
-/// Upstreams of late among which older ones are looked for.
+/// Size at which entries older than [`RECENT_WINDOW`] are pruned.
 const MAX_RECENT: usize = 128;
 
-/// One line of news from the store's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UpstreamUpdate {
     Listed(UpstreamEntry),
@@ -42,9 +38,9 @@
     pub(super) entry: UpstreamEntry,
     pub(super) health: UpstreamHealth,
     pub(super) load: RecentLoad,
-    /// When this life of the upstream was first heard of.
+    /// When this instance first saw the incarnation.
     first_seen: Instant,
-    /// Whether the entry vanished about an outage of the store.
+    /// Removed in an outage of the store or shortly after it.
     expired_in_outage: bool,
 }
 
@@ -54,12 +50,11 @@
         Self { entry, health, load, first_seen: now, expired_in_outage: false }
     }
 
-    /// Takes in another entry of the same life; true if it changes what may be chosen.
+    /// Applies an entry of the same incarnation; true if it changes what may be chosen.
     fn refresh(&mut self, entry: UpstreamEntry) -> bool {
         self.expired_in_outage = false;
         let changed = self.entry.state != entry.state || self.entry.address != entry.address;
-        // A draining upstream returns only with a new life; late news of an earlier state must not
-        // revive it.
+        // Draining is final for an incarnation: a late entry with the earlier state must not undo it.
         if self.entry.state == UpstreamState::Ready {
             self.entry = entry;
         }
@@ -67,29 +62,25 @@
     }
 }
 
-/// All listed upstreams with their health and what their memory is known to hold.
 #[derive(Debug, Default)]
 pub struct UpstreamTable {
     pub(super) upstreams: BTreeMap<UpstreamId, TrackedUpstream>,
     pub(super) index: ServiceIndex,
-    /// When upstreams last got an attempt of this instance, those of late.
+    /// Time of the last attempt of this instance, for upstreams used recently.
     pub(super) recent: HashMap<UpstreamId, Instant>,
-    /// Since when the store has not been readable.
     unreadable_since: Option<Instant>,
-    /// When it became readable again.
     recovered_at: Option<Instant>,
     pub(super) resident: HashMap<BlockId, BTreeSet<UpstreamId>>,
     resident_order: VecDeque<BlockId>,
-    /// Running means of what is measured at each service's upstreams, in milliseconds.
+    /// Moving averages in milliseconds.
     baseline_latencies: BTreeMap<ServiceName, f64>,
-    /// Newest life heard of by id, also of upstreams that are gone.
+    /// Newest incarnation by id, including upstreams that are no longer listed.
     start_times: BTreeMap<UpstreamId, StartMillis>,
-    /// Addresses of lives that ended since this was last asked.
     stale_addresses: Vec<Box<str>>,
 }
 
 impl UpstreamTable {
-    /// Takes in news; true if they changed what may be chosen.
+    /// Returns true if the update changes what may be chosen.
     pub fn apply(&mut self, update: UpstreamUpdate, now: Instant) -> bool {
         match update {
             UpstreamUpdate::Listed(entry) => self.list(entry, now),
@@ -97,7 +88,7 @@
         }
     }
 
-    /// Takes in the whole list: what it lacks is gone.
+    /// Applies the complete list; upstreams that it lacks are removed.
     pub fn replace(&mut self, entries: Vec<UpstreamEntry>, now: Instant) {
         let listed: BTreeSet<UpstreamId> = entries.iter().map(|entry| entry.id.clone()).collect();
         for entry in entries {
@@ -132,7 +123,6 @@
         }
     }
 
-    /// Ends all that is believed of an upstream.
     fn end_incarnation(&mut self, id: &str) {
         for holders in self.resident.values_mut() {
             holders.remove(id);
@@ -141,24 +131,22 @@
         self.stale_addresses.extend(former.map(|known| known.entry.address));
     }
 
-    /// Whether an entry was written by an earlier life than the newest one heard of. A store may
-    /// apply a write seconds late: believed, it would send work to an address where nobody is.
+    /// A store may apply a write seconds late. Accepted, an entry of an earlier incarnation would route
+    /// requests to an address where nothing listens.
     fn is_previous_incarnation(&self, entry: &UpstreamEntry) -> bool {
         self.start_times
             .get(&entry.id)
             .is_some_and(|newest| entry.started_at.is_none_or(|started_at| started_at < *newest))
     }
 
-    /// Whether an entry tells of a life that follows another one under the same id. All that is
-    /// believed of the upstream ends with the former: kept, turns would go where no chain is held any
-    /// more, and one that had drained would get no work for good.
+    /// All state of an upstream ends with its incarnation. Kept, it would route turns to an engine that
+    /// has lost their chain, and an upstream that had drained would never get work again.
     fn starts_incarnation(&self, entry: &UpstreamEntry) -> bool {
         let newest = self.start_times.get(&entry.id).copied();
         entry.started_at > newest && (newest.is_some() || self.upstreams.contains_key(&entry.id))
     }
 
-    /// Addresses of upstreams that have started anew since this was last asked: connections that
-    /// are kept there lead to nobody.
+    /// Addresses of incarnations that ended since the last call; pooled connections to them are dead.
     pub fn take_stale_addresses(&mut self) -> Vec<Box<str>> {
         std::mem::take(&mut self.stale_addresses)
     }
@@ -170,13 +158,13 @@
         }
     }
 
-    /// Whether an upstream still lives that had this birth.
+    /// Returns whether this incarnation is the listed one.
     pub fn has_incarnation(&self, id: &str, started_at: Option<StartMillis>) -> bool {
         self.upstreams.get(id).is_some_and(|known| known.entry.started_at == started_at)
     }
 
-    /// An entry that vanishes in or right after an outage of the store may only have lapsed, with
-    /// the upstream in full health: dropping all of them at once would leave nobody to serve.
+    /// Entries of healthy upstreams expire in an outage of the store. Dropping them all at once would
+    /// leave no upstream, so removals are deferred until they should have been rewritten.
     fn remove(&mut self, id: &str, now: Instant) -> bool {
         if self.defers_removals(now) {
             if let Some(known) = self.upstreams.get_mut(id) {
@@ -194,8 +182,8 @@
         Some(former)
     }
 
-    /// Whether an upstream may be given work. One that vanished about an outage may until it should
-    /// have returned, which must not wait for further news: it may really have left.
+    /// An entry that expired in an outage stays available only until it should have been rewritten.
+    /// This must not depend on a further update, as the upstream may really be gone.
     pub(super) fn is_available(&self, known: &TrackedUpstream, now: Instant) -> bool {
         let listed = !known.expired_in_outage || self.defers_removals(now);
         listed && known.entry.state == UpstreamState::Ready
@@ -206,7 +194,6 @@
         self.unreadable_since.is_some() || recovering
     }
 
-    /// Notes whether the store could be read.
     pub fn set_store_readable(&mut self, readable: bool, now: Instant) {
         match (readable, self.unreadable_since) {
             (true, Some(_)) => {
@@ -218,18 +205,18 @@
         }
     }
 
-    /// Notes a return of the store that a peer has seen.
+    /// Records a recovery of the store that a peer observed.
     pub fn record_store_recovery(&mut self, at: Instant) {
         self.recovered_at = self.recovered_at.max(Some(at));
     }
 
-    /// How long ago the store returned, while entries that vanished are doubted for that.
+    /// `None` once removals are no longer deferred for the recovery.
     pub fn time_since_recovery(&self, now: Instant) -> Option<Duration> {
         let elapsed = self.recovered_at.map(|recovered| now.saturating_duration_since(recovered));
         elapsed.filter(|elapsed| *elapsed < RECOVERY_GRACE)
     }
 
-    /// Drops entries that did not return after an outage; their ids.
+    /// Removes entries that were not rewritten after an outage and returns their ids.
     pub fn expire(&mut self, now: Instant) -> Vec<UpstreamId> {
         if self.defers_removals(now) {
             return Vec::new();
@@ -250,7 +237,6 @@
         self.upstreams.len()
     }
 
-    /// Upstreams that are passed over after failures.
     pub fn ejected_count(&self, now: Instant) -> usize {
         self.upstreams.values().filter(|known| known.health.is_ejected(now)).count()
     }
@@ -259,14 +245,13 @@
         self.upstreams.is_empty()
     }
 
-    /// Whether any upstream of a service may be given work.
     pub fn serves(&self, service: &str) -> bool {
         self.upstreams.values().any(|known| {
             *known.entry.service == *service && known.entry.state == UpstreamState::Ready
         })
     }
 
-    /// An attempt starts that is expected to keep the upstream busy for so long, in milliseconds.
+    /// `work_ms` is the time for which the attempt is expected to keep the upstream busy.
     pub fn started(&mut self, id: &str, work_ms: f64, now: Instant) {
         let Some(known) = self.upstreams.get_mut(id) else { return };
         known.health.started(now);
@@ -277,28 +262,24 @@
         self.recent.insert(id.into(), now);
     }
 
-    /// The first bytes of an answer came, to an attempt that began then.
     pub fn record_first_byte(&mut self, id: &str, started: Instant) {
         if let Some(known) = self.tracked_since(id, started) {
             known.health.record_first_byte(started);
         }
     }
 
-    /// An attempt that began then has ended.
     pub fn ended(&mut self, id: &str, started: Instant, result: AttemptResult, now: Instant) {
         if let Some(known) = self.tracked_since(id, started) {
             known.health.ended(started, result, now);
         }
     }
 
-    /// The upstream whose present life got an attempt that began then; what happens to attempts at a
-    /// former life says nothing about it.
+    /// `None` if the attempt went to an earlier incarnation, whose results say nothing about this one.
     fn tracked_since(&mut self, id: &str, started: Instant) -> Option<&mut TrackedUpstream> {
         self.upstreams.get_mut(id).filter(|known| known.first_seen <= started)
     }
 
-    /// Notes a time that tells how fast an upstream works, in milliseconds. It is held against the
-    /// usual one of its service.
+    /// Adds a latency sample, which is compared with the moving average of the service.
     pub fn observe_latency(&mut self, id: &str, millis: f64, now: Instant) {
         let Some(known) = self.upstreams.get_mut(id) else { return };
         let baseline = self.baseline_latencies.entry(known.entry.service.clone()).or_insert(millis);
@@ -308,7 +289,6 @@
         }
     }
 
-    /// Notes that an upstream has read a part of a prompt.
     pub fn record_resident(&mut self, id: &UpstreamId, block: &BlockId) {
         if let Some(holders) = self.resident.get_mut(block) {
             holders.insert(id.clone());
