--- a/src/core/routing/mod.rs
+++ b/src/core/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Which service a caller's request goes to, and under what limits.
+//! Routes that map requests of callers to services and set their limits.
 
 mod table;
 
@@ -8,26 +8,22 @@
 
 pub use table::{RouteTable, UpdateOutcome, TableView};
 
-/// Name of a service, as routes refer to it.
 pub type ServiceName = Box<str>;
-/// Version of a route table; rises with every accepted change.
+/// Increases with every accepted change.
 pub type TableVersion = u64;
 
-/// What the system may do with a request again.
+/// How often a request may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum RouteKind {
-    /// May run more than once.
     #[display("idempotent")]
     Idempotent,
-    /// Runs at most once for each request of a caller.
     #[display("at_most_once")]
     AtMostOnce,
-    /// A stream of events; runs at most once unless its route says that it may be resumed.
+    /// A stream of events; runs at most once unless the route is resumable.
     #[display("stream")]
     Stream,
 }
 
-/// One route: requests of a host below a path prefix.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteSpec {
     pub name: Box<str>,
@@ -35,36 +31,36 @@
     /// Begins and ends with a slash.
     pub prefix: Box<str>,
     pub kind: RouteKind,
-    /// Longest time a caller is kept waiting.
+    /// Maximum time that a caller waits.
     pub timeout: Duration,
-    /// Time within which an answer is of full use.
+    /// Target latency.
     pub objective: Duration,
     /// 0 is the most urgent.
     pub priority: u8,
-    /// Services with their weights; requests are shared out in proportion.
+    /// Services with the weights by which requests are split.
     pub targets: Vec<(ServiceName, u32)>,
-    /// Upstreams that may run one request.
+    /// Maximum number of upstreams that run one request.
     pub max_attempts: u32,
-    /// Whether an upstream is faster with what it handled before.
+    /// Requests with the same affinity key prefer the same upstreams.
     pub sticky: bool,
-    /// Whether the system keeps what was said, so that a turn brings only its new input.
+    /// Turns are stored, so that a request carries only its new input.
     pub keeps_history: bool,
-    /// How long turns and ledgers of programs are kept after they were last named, where the operator
-    /// says.
+    /// Time for which turns and ledgers of programs are kept after their last use; `None` if not
+    /// configured.
     pub retention: Option<Duration>,
-    /// Whether a stream that broke off may go on at another upstream after its last event.
+    /// A broken stream may continue at another upstream after its last event.
     pub is_resumable: bool,
-    /// Whether callers need no key.
+    /// Callers need no API key.
     pub is_open: bool,
 }
 
 impl RouteSpec {
-    /// Whether a request may run again after it may have run.
+    /// A request that may have run may be run again.
     pub fn is_idempotent(&self) -> bool {
         self.kind == RouteKind::Idempotent || self.is_resumable
     }
 
-    /// The service for a request, by a number drawn evenly from the whole range of `u32`.
+    /// Picks a service by weight. `draw` must be uniform over the range of `u32`.
     pub fn service(&self, draw: u32) -> Option<&ServiceName> {
         let total: u64 = self.targets.iter().map(|(_, weight)| u64::from(*weight)).sum();
         let mut point = (u64::from(draw) * total) >> 32;
@@ -78,31 +74,27 @@
     }
 }
 
-/// What is true of all upstreams of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceSpec {
     pub name: ServiceName,
-    /// Connections an upstream accepts from all callers together.
+    /// Maximum connections that an upstream accepts in total.
     pub max_connections: u32,
     /// Set for model engines.
     pub engine: Option<EngineSpec>,
 }
 
-/// What is true of all engines of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineSpec {
     pub slots: u32,
-    /// Generated tokens in each event of a stream.
+    /// Generated tokens per event of a stream.
     pub event_tokens: u64,
 }
 
-/// What a caller may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
     pub header_bytes: usize,
     pub body_bytes: usize,
-    /// Longest time from a request's first byte to the end of its head.
+    /// From a request's first byte to the end of its head.
     pub header_timeout: Duration,
-    /// How long a connection may wait for its next request.
     pub idle_timeout: Duration,
 }
--- a/src/core/routing/table.rs
+++ b/src/core/routing/table.rs
@@ -1,4 +1,4 @@
-//! A version of the routes, and the newest one an instance knows.
+//! Versioned route tables and the newest one known to an instance.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -9,15 +9,14 @@
 use super::{CallerLimits, RouteSpec, ServiceName, ServiceSpec, TableVersion};
 use crate::core::workspaces::WorkspaceTable;
 
-/// All routes and services of one version.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteTable {
     pub version: TableVersion,
     pub limits: CallerLimits,
     services: BTreeMap<ServiceName, ServiceSpec>,
-    /// Routes of each host, those with the longest prefix first.
+    /// By host, longest prefix first.
     hosts: BTreeMap<Box<str>, Vec<Rc<RouteSpec>>>,
-    /// Who may ask; none if everybody may.
+    /// `None` if requests need no API key.
     workspaces: Option<WorkspaceTable>,
 }
 
@@ -39,19 +38,17 @@
         Self { version, limits, services, hosts, workspaces: None }
     }
 
-    /// The same routes for the callers of these workspaces only.
+    /// Restricts the routes to callers of these workspaces.
     pub fn with_workspaces(self, workspaces: WorkspaceTable) -> Self {
         Self { workspaces: Some(workspaces), ..self }
     }
 
-    /// Who may ask; none if everybody may.
+    /// `None` if requests need no API key.
     pub fn workspaces(&self) -> Option<&WorkspaceTable> {
         self.workspaces.as_ref()
     }
 
-    /// The route with the longest prefix that begins the path.
-    ///
-    /// `host` may carry a port, which routes do not name.
+    /// The route with the longest prefix of `path`. A port in `host` is ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<RouteSpec>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
         let routes = self.hosts.get(&*name)?;
@@ -62,7 +59,7 @@
         self.services.get(name)
     }
 
-    /// Longest time that turns of any route are kept; none if no route keeps them.
+    /// The maximum over all routes; `None` if no route keeps turns.
     pub fn retention(&self) -> Option<Duration> {
         self.hosts.values().flatten().filter_map(|route| route.retention).max()
     }
@@ -72,15 +69,14 @@
     }
 }
 
-/// What became of a version that was offered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpdateOutcome {
     Applied,
-    /// Not newer than the one in force.
+    /// Not newer than the current table.
     Old,
 }
 
-/// The newest table this instance has seen; it never goes back.
+/// The newest table seen; it is never replaced by an older one.
 #[derive(Debug, Default)]
 pub struct TableView {
     current: Option<Rc<RouteTable>>,
@@ -88,10 +84,8 @@
 }
 
 impl TableView {
-    /// Takes a table over if it is newer than the one in force.
-    ///
-    /// A reply that was under way while a later one arrived would otherwise bring dropped routes
-    /// back: a request that was refused a moment ago would be served by the old service.
+    /// Replaces the current table if `table` is newer. A reply that arrives out of order must not
+    /// restore routes that were removed.
     pub fn update(&mut self, table: RouteTable) -> UpdateOutcome {
         if self.current.as_ref().is_some_and(|current| current.version >= table.version) {
             return UpdateOutcome::Old;
@@ -100,7 +94,7 @@
         UpdateOutcome::Applied
     }
 
-    /// Notes that the store had nothing newer at `now`.
+    /// Records that the store had no newer table at `now`.
     pub fn confirm(&mut self, now: Instant) {
         self.confirmed_at = Some(now);
     }
@@ -109,7 +103,7 @@
         self.current.clone()
     }
 
-    /// When the table in force was last known to be the newest.
+    /// When the current table was last known to be the newest.
     pub fn confirmed_at(&self) -> Option<Instant> {
         self.confirmed_at
     }
