--- a/src/core/config/change.rs
+++ b/src/core/config/change.rs
@@ -1,4 +1,4 @@
-//! Changes and what they set.
+//! Entries of the configuration's change log and the checks of their values.
 
 use std::time::Duration;
 
@@ -10,13 +10,12 @@
 use crate::core::ids::{ConfigVersion, DefinitionName, Tokens, WorkspaceId};
 use crate::core::timeline::CausalStamp;
 
-/// A workspace as its operator set it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkspaceSpec {
     pub id: WorkspaceId,
     pub class: ServiceClass,
     pub budget: Tokens,
-    /// Share within its class, 1 to 1000.
+    /// Share within the class, 1 to 1000.
     pub priority: u16,
     pub retired: bool,
 }
@@ -34,7 +33,6 @@
     pub retired: bool,
 }
 
-/// What a change sets.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "object", rename_all = "snake_case")]
 pub enum ChangeBody {
@@ -43,7 +41,6 @@
     EngineGroup(EngineGroupSpec),
 }
 
-/// One entry of the change log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigChange {
     pub version: ConfigVersion,
@@ -55,7 +52,7 @@
 const MAX_NAME_BYTES: usize = 64;
 const MAX_SHARED_PREFIX_BYTES: usize = 256 * 1024;
 
-/// A value an operator may not set.
+/// A value that is out of its allowed range.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{field} is '{value}', but must be {allowed}")]
 pub struct InvalidSpec {
@@ -79,7 +76,7 @@
 }
 
 impl ChangeBody {
-    /// Key of the object's row below the configuration prefix of the table.
+    /// Key of the object's row, relative to the configuration prefix of the table.
     pub fn key(&self) -> Box<str> {
         match self {
             Self::Workspace(spec) => format!("workspace/{}", spec.id).into(),
@@ -88,7 +85,7 @@
         }
     }
 
-    /// Checks the values by themselves.
+    /// Checks the values without reference to other objects.
     pub fn check(&self) -> Result<(), InvalidSpec> {
         match self {
             Self::Workspace(spec) => spec.check(),
--- a/src/core/config/engines.rs
+++ b/src/core/config/engines.rs
@@ -1,4 +1,4 @@
-//! What operators want of a model's engines.
+//! Desired state of a model's engines.
 
 use std::collections::BTreeSet;
 
@@ -7,14 +7,13 @@
 use super::change::{InvalidSpec, check_name};
 use crate::core::orders::{EngineArtifact, EngineRole};
 
-/// The wanted state of all engines of one model.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineGroupSpec {
     pub model: Box<str>,
-    /// What each engine should have loaded: at most one version of a name, and nothing else.
+    /// The exact set that each engine loads; names are unique.
     pub artifacts: Vec<EngineArtifact>,
     pub role: EngineRole,
-    /// Share of the engines that may be away for orders at once, 1 to 100.
+    /// Share of the engines that may be out of service for orders at a time, 1 to 100.
     pub max_away_percent: u8,
 }
 
--- a/src/core/config/mod.rs
+++ b/src/core/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration every instance serves by: a log of changes, applied in rising order.
+//! The replicated configuration: a log of changes, applied in version order.
 
 mod change;
 mod engines;
--- a/src/core/config/source.rs
+++ b/src/core/config/source.rs
@@ -1,28 +1,24 @@
-//! Which members read the head in the table, and whom the others ask.
+//! Assigns the members that read the configuration's head in the table, and those that ask them.
 
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::core::ids::InstanceId;
 
-/// Members that share one reader of the table.
-///
-/// Each reader answers one question a second of each of the others: eight keep that below a fifth
-/// of a node's bytes for control, and cut the reads to an eighth.
+/// Members per reader. Larger groups save reads of the table, but add control traffic at the reader.
 const READER_GROUP_SIZE: usize = 8;
 
-/// Where an instance learns the head.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HeadSource {
-    /// It reads the table, for itself and for its group.
+    /// The instance is the reader of its group.
     Table,
-    /// It asks this member.
+    /// The reader of the group.
     Member(InstanceId),
 }
 
-/// The source for `me` among the members that serve, `me` included.
+/// The source for `me` among the serving members, which include `me`.
 ///
-/// Every instance that knows the same members computes the same groups. Where two differ for a
-/// moment one asks a member that reads nothing itself: the answer is older, never wrong.
+/// Instances with the same members compute the same groups. While they differ, one may ask a member
+/// that is no reader: its answer is older, but still correct.
 pub fn head_source<'a>(me: &str, members: impl Iterator<Item = &'a InstanceId>) -> HeadSource {
     let mut ranked: Vec<(u64, &InstanceId)> =
         members.map(|member| (xxh3_64(member.as_bytes()), member)).collect();
--- a/src/core/config/view.rs
+++ b/src/core/config/view.rs
@@ -1,4 +1,4 @@
-//! The configuration as one instance knows it.
+//! The configuration known to one instance, and how recently it was known to be current.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,46 +9,41 @@
 use super::engines::EngineGroupSpec;
 use crate::core::ids::{ConfigVersion, DefinitionName, WorkspaceId};
 
-/// A value and the change that set it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Versioned<T> {
     pub version: ConfigVersion,
     pub value: T,
 }
 
-/// What became of a change that arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ApplyOutcome {
     Applied,
-    /// Already in force; nothing changed.
     Old,
-    /// Changes in between are missing.
     Gap,
 }
 
-/// At `at`, no change above `head` had been accepted.
+/// No change above `head` had been accepted at `at`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct HeadObservation {
     head: ConfigVersion,
     at: Instant,
 }
 
-/// What one instance can tell others of the head: `age` ago, nothing above `head` existed.
+/// No change above `head` had been accepted `age` ago.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeadBound {
     pub head: ConfigVersion,
     pub age: Duration,
 }
 
-/// Everything operators have set, up to one version.
+/// All objects set by operators, up to one version.
 #[derive(Debug, Default)]
 pub struct ConfigView {
     version: ConfigVersion,
-    /// The highest head seen anywhere; above `version` while changes are missing.
+    /// The highest version known to exist; above `version` while changes are missing.
     head: ConfigVersion,
-    /// The latest moment at which the head is known not to have been above a version.
     observation: Option<HeadObservation>,
-    /// A moment at which `version` was certainly the newest.
+    /// Latest time at which `version` was known to be the newest.
     current_at: Option<Instant>,
     workspaces: BTreeMap<WorkspaceId, Versioned<WorkspaceSpec>>,
     definitions: BTreeMap<(WorkspaceId, DefinitionName), Versioned<DefinitionSpec>>,
@@ -56,8 +51,8 @@
     log: Vec<ConfigChange>,
 }
 
-/// Changes kept to serve peers that lag. At a change each five seconds these last twenty minutes;
-/// whoever lags further reads the table. More would not fit: a shared prefix has up to 256 KB.
+/// Peers that lag further read the table. Bounds the memory of the log, as a shared prefix can be
+/// large.
 const MAX_LOG_CHANGES: usize = 256;
 
 impl ConfigView {
@@ -69,7 +64,7 @@
         self.head
     }
 
-    /// Takes up a change if it is the very next one; an older value never replaces a newer one.
+    /// Applies a change if its version directly follows the current one.
     pub fn apply(&mut self, change: &ConfigChange) -> ApplyOutcome {
         self.head = self.head.max(change.version);
         if change.version <= self.version {
@@ -93,15 +88,14 @@
         self.set(version, body);
     }
 
-    /// Ends the loading of a snapshot.
+    /// Completes the loading of a snapshot that contains all changes up to `version`.
     pub fn finish_load(&mut self, version: ConfigVersion) {
         self.version = self.version.max(version);
         self.head = self.head.max(version);
         self.update_current_at();
     }
 
-    /// A snapshot may hold objects newer than the log entries replayed after it, so an older
-    /// value is passed over here.
+    /// Skips older values: a snapshot may hold objects newer than the log entries replayed after it.
     fn set(&mut self, version: ConfigVersion, body: &ChangeBody) {
         if self.object_version(body) >= version {
             return;
@@ -123,21 +117,19 @@
         }
     }
 
-    /// A peer knows this version; it says nothing about newer ones.
+    /// Records that `head` exists, without a claim that nothing newer does.
     pub fn raise_head(&mut self, head: ConfigVersion) {
         self.head = self.head.max(head);
     }
 
-    /// Whether a newer version is known to exist.
     pub fn is_behind(&self) -> bool {
         self.version < self.head
     }
 
-    /// At `at`, by this instance's clock, no change above `head` had been accepted.
+    /// Records that no change above `head` had been accepted at `at`, by this instance's clock.
     ///
-    /// The claim holds for every earlier moment too, so where the true moment is not known exactly
-    /// a moment before it is sound and one after it is not: a view would pass for current longer
-    /// than the bound, and a retired workspace would be served on.
+    /// If the time is not known exactly, `at` must be earlier, never later: otherwise the view counts
+    /// as current for longer than its bound, and a retired workspace is still served.
     pub fn observe_head(&mut self, head: ConfigVersion, at: Instant) {
         self.head = self.head.max(head);
         if self.observation.is_none_or(|known| known.at < at) {
@@ -153,20 +145,19 @@
         }
     }
 
-    /// How long ago this view was certainly the newest.
+    /// Time since this view was last known to be the newest.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.current_at.map(|at| now.saturating_duration_since(at))
     }
 
-    /// What others may conclude from this view.
     pub fn head_bound(&self, now: Instant) -> Option<HeadBound> {
         self.age(now).map(|age| HeadBound { head: self.version, age })
     }
 
-    /// Whether this view was the newest within the last `bound`.
+    /// Returns whether this view was the newest within the last `bound`.
     ///
-    /// An instance cut off from table and peers would go on serving a retired workspace; taking
-    /// no new work when this turns false keeps an accepted change in force everywhere.
+    /// An instance partitioned from table and peers must take no new work once this is false, or it
+    /// would serve a retired workspace.
     pub fn is_current(&self, now: Instant, bound: Duration) -> bool {
         self.age(now).is_some_and(|age| age <= bound)
     }
@@ -191,12 +182,11 @@
         self.engine_groups.get(model)
     }
 
-    /// What operators want of the engines, by model.
     pub fn engine_groups(&self) -> impl Iterator<Item = &Versioned<EngineGroupSpec>> {
         self.engine_groups.values()
     }
 
-    /// The version of the object a change would set; 0 if it does not exist.
+    /// Version of the object that `body` sets; 0 if it does not exist.
     pub fn object_version(&self, body: &ChangeBody) -> ConfigVersion {
         let found = match body {
             ChangeBody::Workspace(spec) => self.workspace(&spec.id).map(|found| found.version),
@@ -210,7 +200,7 @@
         found.unwrap_or(0)
     }
 
-    /// Changes above `version` for a peer; `None` if they are not all kept any more.
+    /// Changes above `version`; `None` if some are no longer in the log.
     pub fn changes_since(&self, version: ConfigVersion) -> Option<Vec<ConfigChange>> {
         let newer: Vec<_> =
             self.log.iter().filter(|change| change.version > version).cloned().collect();
