--- a/src/core/workspaces/mod.rs
+++ b/src/core/workspaces/mod.rs
@@ -1,4 +1,4 @@
-//! Who may ask: the workspaces that a configuration names, and the keys by which they are known.
+//! The workspaces of a configuration and the API keys that authenticate them.
 
 mod name;
 mod table;
@@ -11,8 +11,8 @@
 pub use name::qualified_name;
 pub use table::{InvalidKey, WorkspaceTable};
 
-/// A secret by which callers show their workspace. It has no text form, so that it cannot slip into
-/// a log line, a metric or an error; looked at whole only where keys are compared.
+/// A secret that identifies a workspace. Its `Debug` form is redacted to keep it out of logs, metrics
+/// and errors.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct ApiKey(Box<str>);
 
@@ -32,13 +32,12 @@
     }
 }
 
-/// One workspace of a configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkspaceSpec {
     pub name: WorkspaceId,
     pub keys: Vec<ApiKey>,
-    /// 0 is the most urgent; goes before the route's where it is set.
+    /// 0 is the most urgent; overrides the priority of the route.
     pub priority: Option<u8>,
-    /// How much it may ask; none if that is not limited.
+    /// `None` if unlimited.
     pub quota: Option<QuotaTerms>,
 }
--- a/src/core/workspaces/table.rs
+++ b/src/core/workspaces/table.rs
@@ -1,4 +1,4 @@
-//! The workspaces of one version of the configuration, found by key.
+//! Look-up of the workspaces of one configuration version by API key.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -8,18 +8,18 @@
 use super::{ApiKey, WorkspaceSpec};
 use crate::core::ids::WorkspaceId;
 
-/// A key in a configuration that nobody can use.
+/// A configured key that is ignored for at least one workspace.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum InvalidKey {
-    /// It would admit callers that send an empty one.
+    /// Would admit callers that send an empty key.
     #[display("workspace '{workspace}' has an empty key, which is ignored")]
     Empty { workspace: WorkspaceId },
     #[display("workspaces '{holder}' and '{other}' share a key; it stays with '{holder}'")]
     Shared { holder: WorkspaceId, other: WorkspaceId },
 }
 
-/// Workspaces by key. The hash of a key is seeded at random in each process, so that nobody can tell
-/// from the time of a look-up how much of a guess was right; what is found is compared whole.
+/// Workspaces by key and name. The map's hash is seeded at random in each process, so that the time
+/// of a look-up does not reveal how much of a guessed key is right.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct WorkspaceTable {
     by_key: HashMap<ApiKey, Rc<WorkspaceSpec>>,
@@ -28,7 +28,6 @@
 }
 
 impl WorkspaceTable {
-    /// Takes the workspaces of a configuration.
     pub fn new(specs: impl IntoIterator<Item = WorkspaceSpec>) -> Self {
         let mut table = Self::default();
         for spec in specs {
@@ -51,7 +50,6 @@
         shared.then(|| InvalidKey::Shared { holder: holder.name.clone(), other: spec.name.clone() })
     }
 
-    /// The workspace that holds a key.
     pub fn find_by_key(&self, key: &ApiKey) -> Option<&Rc<WorkspaceSpec>> {
         self.by_key.get(key)
     }
@@ -60,7 +58,6 @@
         self.by_name.get(name)
     }
 
-    /// Keys that cannot be used.
     pub fn invalid_keys(&self) -> &[InvalidKey] {
         &self.invalid_keys
     }
