--- a/src/core/limits/mod.rs
+++ b/src/core/limits/mod.rs
@@ -1,31 +1,30 @@
-//! Limits on how often something may happen.
+//! Rate limiting of recurring events.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Keeps a mean rate and lets short bursts through at once (the generic cell rate algorithm).
+/// Generic cell rate algorithm: enforces a mean rate and admits short bursts.
 #[derive(Debug, Clone)]
 pub struct RatePacer {
     interval: Duration,
     /// How far the schedule may run ahead of the clock.
     tolerance: Duration,
-    /// When the next event would be due if all kept the mean rate.
+    /// Theoretical arrival time of the next event.
     due: Instant,
 }
 
 impl RatePacer {
-    /// One event an `interval` in the long run, and up to `burst` at a time.
+    /// One event per `interval` on average, up to `burst` at once.
     pub fn new(interval: Duration, burst: u32, now: Instant) -> Self {
         Self { interval, tolerance: interval * burst.saturating_sub(1), due: now }
     }
 
-    /// When the next event may happen; in the past if it may happen now.
+    /// Earliest time of the next event; in the past if it may happen now.
     pub fn ready_at(&self) -> Instant {
         self.due.checked_sub(self.tolerance).unwrap_or(self.due)
     }
 
-    /// An event happens at `now`.
     pub fn record(&mut self, now: Instant) {
         self.due = self.due.max(now) + self.interval;
     }
