--- a/src/core/turns/lines.rs
+++ b/src/core/turns/lines.rs
@@ -18,7 +18,7 @@
 pub struct LineHolder {
     pub line: Option<LineName>,
     pub upstream: UpstreamId,
-    /// Which life of it, where it tells.
+    /// Start time of its incarnation, if known.
     pub born: Option<StartMillis>,
 }
 
--- a/src/core/turns/record.rs
+++ b/src/core/turns/record.rs
@@ -20,7 +20,7 @@
     pub origin: Option<ProgramName>,
     /// The engine that ran it and so holds the chain in its memory.
     pub upstream: UpstreamId,
-    /// Which life of it, where it tells.
+    /// Start time of its incarnation, if known.
     pub started_at: Option<StartMillis>,
     /// Tokens passed on to the caller. The record settles the turn's reservation by being there.
     pub used: Tokens,
--- a/src/gateway/attempt/tried.rs
+++ b/src/gateway/attempt/tried.rs
@@ -22,7 +22,7 @@
     pub(crate) sent_after: Cell<Option<Duration>>,
     /// Whether an attempt is under way whose upstream may be running the request.
     pub(crate) exposed: Cell<bool>,
-    /// Upstreams that have run the request, by their lives.
+    /// Incarnations that have run the request.
     pub(super) engines: RefCell<Vec<UpstreamIncarnation>>,
     /// Upstreams that took no connection.
     pub(super) unreached: Cell<u32>,
@@ -32,7 +32,6 @@
     pub(crate) last_event: RefCell<Option<EventId>>,
 }
 
-/// One life of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct UpstreamIncarnation {
     pub(super) id: UpstreamId,
--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -207,7 +207,7 @@
         let RelayState { events, first, first_at, before, .. } = state;
         let (upstream, status) = (choice.id.clone(), head.status);
         guard.record(AttemptResult::Answered);
-        // What a former life has read is in nobody's memory.
+        // The cache of a previous incarnation is gone.
         if self.news.upstreams.borrow().has_incarnation(&upstream, choice.started_at) {
             self.note_resident(call, &upstream);
             self.note_pace(&upstream, first_at, events.events() - before);
--- a/tests/platform_standin/mod.rs
+++ b/tests/platform_standin/mod.rs
@@ -258,7 +258,7 @@
         self.list_engine_in("zone-a", id, address, state);
     }
 
-    /// Lists a life of an engine that tells when it started.
+    /// Lists an incarnation of an engine by its start time.
     pub fn list_incarnation(&self, id: &str, address: &str, state: &str, started_at: u64) {
         let mut entry = engine_entry("zone-a", address, state);
         entry["born"] = started_at.into();
