--- a/tests/config_view.rs
+++ b/tests/config_view.rs
@@ -1,4 +1,4 @@
-//! The configuration view against an oracle that knows the whole change log and its times.
+//! Compares the configuration view with a model that has the complete change log and its times.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,27 +13,27 @@
 
 const BOUND: Duration = Duration::from_secs(3);
 
-/// What happens around one view. Numbers choose among what exists, modulo its count.
+/// Numbers select an existing change, modulo the count.
 #[derive(Debug, Clone)]
 enum Step {
-    /// Somewhere, an operator's change of this workspace is accepted.
+    /// A change of this workspace is accepted.
     Accept(u8),
-    /// Some accepted change arrives: early, late or twice.
+    /// An accepted change arrives in any order, possibly twice.
     Deliver(usize),
-    /// The whole configuration is read, the head a number of changes before the objects.
+    /// A snapshot is read whose head lags behind its objects by `missed` changes.
     Load {
         missed: usize,
     },
-    /// Word arrives of what the head was some time ago.
+    /// A reading of the head arrives late.
     ObserveHead {
         millis_ago: u64,
     },
-    /// A datagram names some version that exists.
+    /// A peer names an existing version.
     RaiseHead(usize),
     Advance(u64),
 }
 
-/// The truth: every change, with the millisecond of its acceptance.
+/// The model: every change with the millisecond of its acceptance.
 #[derive(Debug, Clone, Default)]
 struct ChangeLog {
     now: u64,
@@ -94,7 +94,7 @@
 struct ViewTest {
     view: ConfigView,
     zero: Instant,
-    /// The version of each object when last looked at.
+    /// Object versions before the last step.
     seen: BTreeMap<Box<str>, u64>,
 }
 
@@ -173,8 +173,8 @@
         ..Config::default()
     })]
 
-    /// Changes, snapshots and words of the head reach a view in any order, late and repeated. The
-    /// view must never go back, skip a change, or pass for current while it misses one.
+    /// Guards against a view that goes back, skips a change, or counts as current without one when
+    /// messages are late, reordered or repeated.
     #[test]
     fn view_agrees_with_the_change_log(sequential 1..60 => ViewTest);
 }
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routes: which one a request takes, how a split is shared out, and that they never go back.
+//! Route matching, weighted splits and updates of the route table.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -78,7 +78,7 @@
     assert_eq!(route.service(u32::MAX).map(|name| &**name), Some("old"));
 }
 
-/// A reply that was under way while a newer one arrived must not bring dropped routes back.
+/// Guards against a reply that arrives out of order and restores removed routes.
 #[test]
 fn older_table_is_ignored() {
     let mut view = TableView::default();
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -1,4 +1,4 @@
-//! Silence: connections that stay open and carry nothing any more, while new ones work.
+//! Connections that stay open but deliver nothing any more, while new ones work.
 
 mod support;
 
@@ -20,7 +20,6 @@
 };
 use tokio::time::{Instant, sleep, timeout};
 
-/// The links that go silent.
 #[derive(Debug, Clone, Copy)]
 enum Link {
     Platform,
@@ -42,9 +41,8 @@
     }
 }
 
-/// Whatever is under way on a link at one moment is never answered; what comes later is. Every
-/// caller must still get its answer, no instance may be taken for dead, and all tasks must go on:
-/// each round meets another of them waiting for the silent link.
+/// Guards against calls or background tasks that hang on a request lost with a stalled link, and
+/// against members suspected for it. The rounds differ in length to hit different tasks.
 #[rstest]
 fn calls_are_answered_after_links_stall(
     #[values(Link::Platform, Link::Peers, Link::Engines)] link: Link,
@@ -72,7 +70,7 @@
         }
         for run in runs {
             let ended = timeout(Duration::from_secs(600), run).await;
-            ended.expect("no call waits for good").expect("all calls are answered");
+            ended.expect("no call hangs").expect("all calls are answered");
         }
         for node in cluster.nodes.borrow().values() {
             let members = node.member_list();
@@ -92,9 +90,8 @@
     });
 }
 
-/// More calls come to one instance than its own engine has room for, so some ask other instances
-/// for slots, over links that forget the request. They must try anew within seconds, not sit out
-/// the 30 s that a call may wait in a queue.
+/// Guards against a slot request that is lost on a peer link and waits for the full queue timeout
+/// instead of being retried.
 #[test]
 fn slot_request_is_retried_after_a_link_stalls() {
     run_paused(async {
@@ -136,9 +133,8 @@
     }
 }
 
-/// Over real sockets, every connection between callers, instances, an engine and the platform goes
-/// silent in the middle of streams, one kind after the other, and stays open. Each call must end
-/// with its own complete answer; both instances stay alive and keep their incarnations.
+/// Guards against streams that hang, mix or lose events when connections of callers, peers, engines
+/// or the platform stall, and against a new incarnation for it.
 #[test]
 fn streams_survive_stalled_connections() {
     actix_rt::System::new().block_on(async {
@@ -187,7 +183,7 @@
             }
         };
         let all = futures_util::future::join(futures_util::future::join_all(calls), freezing);
-        timeout(Duration::from_secs(90), all).await.expect("no call waits for good");
+        timeout(Duration::from_secs(90), all).await.expect("no call hangs");
         for node in &nodes {
             let members = node.member_list();
             assert!(members.iter().all(|member| member.state == MemberState::Alive));
--- a/tests/upstream_choice.rs
+++ b/tests/upstream_choice.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request goes to, and what is made of the news about upstreams.
+//! Choice of an upstream, and how the table applies updates from the store.
 
 use std::time::Duration;
 
@@ -63,8 +63,8 @@
     assert_eq!(chosen(&table, &other), None);
 }
 
-/// The engine of the turn before holds the chain: it is worth a few other requests there, but not
-/// any number, and not one that has turned slow.
+/// Guards against a chain that leaves its engine for a small load, or stays when the engine is busy
+/// or slow.
 #[tokio::test(start_paused = true)]
 async fn chain_stays_at_its_holder_until_that_costs_more() {
     let mut table = table(&[("a", "near"), ("b", "near")]);
@@ -88,7 +88,7 @@
     }
     assert_eq!(chosen(&table, &turn(Instant::now())).as_deref(), Some("b"));
     advance(Duration::from_secs(15)).await;
-    assert_eq!(chosen(&table, &turn(Instant::now())).as_deref(), Some("a"), "what is old fades");
+    assert_eq!(chosen(&table, &turn(Instant::now())).as_deref(), Some("a"), "old samples decay");
 }
 
 #[tokio::test(start_paused = true)]
@@ -99,16 +99,14 @@
     assert_eq!(chosen(&table, &request(&[], None)).as_deref(), Some("b"));
     advance(Duration::from_millis(600)).await;
     assert_eq!(chosen(&table, &request(&[], None)).as_deref(), Some("a"));
-    // One broken answer befalls sound upstreams too; two in a row do not.
     table.ended("a", Instant::now(), AttemptResult::Broken, Instant::now());
     assert_eq!(chosen(&table, &request(&[], None)).as_deref(), Some("a"));
     table.ended("a", Instant::now(), AttemptResult::Broken, Instant::now());
     assert_eq!(chosen(&table, &request(&[], None)).as_deref(), Some("b"));
-    // With nobody else left, one that is aside is better than none.
     assert_eq!(chosen(&table, &request(&["b".into()], None)).as_deref(), Some("a"));
 }
 
-/// The news that an upstream drains overtakes an older beat that still calls it ready.
+/// Guards against an older entry that arrives late and makes a draining upstream ready again.
 #[tokio::test(start_paused = true)]
 async fn draining_upstream_ignores_a_late_ready_entry() {
     let mut table = table(&[("a", "near")]);
@@ -119,7 +117,7 @@
     assert!(!table.serves("llm"));
 }
 
-/// Two entries lapse while the store is away. One returns after it; the other is gone.
+/// Guards against dropping healthy upstreams whose entries expire while the store is unreadable.
 #[tokio::test(start_paused = true)]
 async fn entries_expired_in_an_outage_are_kept_until_recovery() {
     let mut table = table(&[("a", "near"), ("b", "near")]);
@@ -134,13 +132,13 @@
     advance(Duration::from_millis(400)).await;
     assert_eq!(table.expire(Instant::now()), ["b".into()]);
     assert_eq!(table.len(), 1);
-    // Without an outage a removal counts at once.
+    // Without an outage a removal takes effect at once.
     table.apply(UpstreamUpdate::Removed("a".into()), Instant::now());
     assert!(table.is_empty());
 }
 
-/// An upstream leaves just after the store's return, without having said that it drains. It may only
-/// have lapsed, so it stays in use, but no longer than that lasts, whenever the next news comes.
+/// Guards against an upstream that leaves just after the store's recovery and stays in use until the
+/// next update.
 #[tokio::test(start_paused = true)]
 async fn deferred_removal_takes_effect_without_further_updates() {
     let mut table = table(&[("a", "near")]);
@@ -152,9 +150,7 @@
     assert_eq!(chosen(&table, &request(&[], None)), None);
 }
 
-/// An engine takes a turn and says nothing, and holds the chain of the next one. After a second the
-/// next turn goes elsewhere; a turn that streams slowly at it is no silence. When the caller of the
-/// silent turn has gone, the engine is put aside like one that failed.
+/// Guards against turns that follow their chain to an engine that accepts requests and never answers.
 #[tokio::test(start_paused = true)]
 async fn upstream_without_a_first_byte_is_avoided() {
     let mut table = table(&[("a", "near"), ("b", "near")]);
@@ -185,8 +181,8 @@
     UpstreamUpdate::Listed(UpstreamEntry { started_at: Some(started_at), ..entry(id, "near", state) })
 }
 
-/// An engine drains, ends and starts again under its id. Its new life holds nothing and has failed
-/// nobody: it gets work at once, but not as the holder of what its former life had read.
+/// Guards against a restarted engine that keeps the failures, load or cached blocks of its previous
+/// incarnation.
 #[tokio::test(start_paused = true)]
 async fn new_incarnation_starts_without_state() {
     let mut table = table(&[("b", "near")]);
@@ -212,14 +208,13 @@
     let unread = blocks.iter().map(|block| block.tokens).sum::<u64>() as f64 / 32.0;
     assert_eq!(fresh(&table), Some((Some(2_000), 0, unread)));
     assert_eq!(table.ejected_count(Instant::now()), 0);
-    // What is still under way at the former life says nothing about the new one.
+    // Results of attempts at the previous incarnation do not count.
     table.ended("a", former, AttemptResult::Unreachable, Instant::now());
     assert_eq!(table.ejected_count(Instant::now()), 0);
     assert!(table.has_incarnation("a", Some(2_000)) && !table.has_incarnation("a", Some(1_000)));
 }
 
-/// The store applies a beat of an engine's former life seconds late, after its new one was listed,
-/// and again after that was removed: it brings nothing back.
+/// Guards against a write of a previous incarnation that the store applies late.
 #[rstest::rstest]
 #[case(Some(1_000))]
 #[case(None)]
@@ -233,12 +228,12 @@
     table.apply(UpstreamUpdate::Removed("a".into()), Instant::now());
     table.apply(UpstreamUpdate::Listed(former), Instant::now());
     assert!(table.is_empty());
-    // The same life may only have lapsed.
+    // An entry of the newest incarnation may have expired and been rewritten.
     table.apply(incarnation("a", 2_000, UpstreamState::Ready), Instant::now());
     assert_eq!(chosen(&table, &request(&[], None)).as_deref(), Some("a"));
 }
 
-/// Guards against chance that outweighs a chain where there are thousands of engines.
+/// Guards against a tie-break that outweighs a cached chain among thousands of engines.
 #[tokio::test(start_paused = true)]
 async fn chain_stays_at_its_holder_among_thousands() {
     let names: Vec<String> = (0..3_000).map(|number| format!("e{number}")).collect();
@@ -254,7 +249,7 @@
     }
 }
 
-/// Guards against requests that are refused because the first of thousands have failed.
+/// Guards against refusing requests when only the ranked upstreams have failed.
 #[tokio::test(start_paused = true)]
 async fn all_upstreams_are_considered_after_the_ranked_ones_failed() {
     let names: Vec<String> = (0..3_000).map(|number| format!("e{number}")).collect();
@@ -263,15 +258,14 @@
     let object = ChoiceRequest { affinity: Some("object"), ..request(&[], None) };
     let mut failed = std::collections::BTreeSet::new();
     for _ in 0..100 {
-        let id = chosen(&table, &object).expect("one is left");
+        let id = chosen(&table, &object).expect("an upstream is left");
         table.started(&id, 0.0, Instant::now());
         table.ended(&id, Instant::now(), AttemptResult::Unreachable, Instant::now());
-        assert!(failed.insert(id), "one that has failed is chosen again");
+        assert!(failed.insert(id), "a failed upstream is chosen again");
     }
 }
 
-/// Guards against instances that send an object to different upstreams because they have heard of these
-/// in another order.
+/// Guards against an order that depends on the sequence in which upstreams were listed.
 #[tokio::test(start_paused = true)]
 async fn object_maps_to_the_same_upstream_on_every_instance() {
     let names: Vec<String> = (0..200).map(|number| format!("e{number}")).collect();
