--- a/src/bench/cores.rs
+++ b/src/bench/cores.rs
@@ -18,7 +18,7 @@
 use crate::core::timeline::CausalStamp;
 use crate::core::turns::{CoordinatorSpan, coordinator};
 use crate::core::upstreams::{
-    ChoiceRequest, UpstreamUpdate, UpstreamEntry, UpstreamState, UpstreamTable,
+    ChoiceRequest, UpstreamEntry, UpstreamState, UpstreamTable, UpstreamUpdate,
 };
 
 /// One operation on a state of one size.
--- a/src/core/config/source.rs
+++ b/src/core/config/source.rs
@@ -24,7 +24,8 @@
         members.map(|member| (xxh3_64(member.as_bytes()), member)).collect();
     ranked.sort_unstable();
     let position = ranked.iter().position(|(_, member)| ***member == *me);
-    let reader = position.map(|position| ranked[position / READER_GROUP_SIZE * READER_GROUP_SIZE].1);
+    let reader =
+        position.map(|position| ranked[position / READER_GROUP_SIZE * READER_GROUP_SIZE].1);
     match reader {
         Some(reader) if **reader != *me => HeadSource::Member(reader.clone()),
         _ => HeadSource::Table,
--- a/src/core/routing/mod.rs
+++ b/src/core/routing/mod.rs
@@ -6,7 +6,7 @@
 
 use derive_more::Display;
 
-pub use table::{RouteTable, UpdateOutcome, TableView};
+pub use table::{RouteTable, TableView, UpdateOutcome};
 
 pub type ServiceName = Box<str>;
 /// Increases with every accepted change.
--- a/src/core/upstreams/choice.rs
+++ b/src/core/upstreams/choice.rs
@@ -4,7 +4,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::table::TrackedUpstream;
-use super::{StartMillis, PromptBlock, UpstreamTable};
+use super::{PromptBlock, StartMillis, UpstreamTable};
 use crate::core::ids::UpstreamId;
 
 /// Assumed prefill rate of an engine.
--- a/src/core/upstreams/health.rs
+++ b/src/core/upstreams/health.rs
@@ -124,7 +124,8 @@
     /// Moving average that decays towards 1.0, the mean of the service.
     pub fn latency_ratio(&self, now: Instant) -> f64 {
         let Some((mean, at)) = self.latency_ratio else { return 1.0 };
-        let age = now.saturating_duration_since(at).as_secs_f64() / LATENCY_RATIO_DECAY.as_secs_f64();
+        let age =
+            now.saturating_duration_since(at).as_secs_f64() / LATENCY_RATIO_DECAY.as_secs_f64();
         1.0 + (mean - 1.0) * (-age).exp()
     }
 
--- a/src/core/upstreams/mod.rs
+++ b/src/core/upstreams/mod.rs
@@ -14,7 +14,7 @@
 
 pub use choice::{ChoiceRequest, UpstreamChoice};
 pub use health::{AttemptResult, RecentLoad, UpstreamHealth};
-pub use table::{UpstreamUpdate, UpstreamTable};
+pub use table::{UpstreamTable, UpstreamUpdate};
 
 /// Identifies a block of a prompt; prompts with a common prefix share the ids of its blocks.
 pub type BlockId = Box<str>;
--- a/src/core/upstreams/table.rs
+++ b/src/core/upstreams/table.rs
@@ -7,7 +7,7 @@
 
 use super::index::ServiceIndex;
 use super::{
-    AttemptResult, StartMillis, BlockId, RecentLoad, UpstreamEntry, UpstreamHealth, UpstreamState,
+    AttemptResult, BlockId, RecentLoad, StartMillis, UpstreamEntry, UpstreamHealth, UpstreamState,
 };
 use crate::core::ids::UpstreamId;
 use crate::core::routing::ServiceName;
@@ -190,7 +190,8 @@
     }
 
     fn defers_removals(&self, now: Instant) -> bool {
-        let recovering = self.recovered_at.is_some_and(|recovered| now < recovered + RECOVERY_GRACE);
+        let recovering =
+            self.recovered_at.is_some_and(|recovered| now < recovered + RECOVERY_GRACE);
         self.unreadable_since.is_some() || recovering
     }
 
--- a/src/gateway/attempt/mod.rs
+++ b/src/gateway/attempt/mod.rs
@@ -123,7 +123,10 @@
         }
         let upstreams = self.news.upstreams.borrow();
         let engines = log.engines.borrow();
-        let running = engines.iter().filter(|engine| upstreams.has_incarnation(&engine.id, engine.started_at)).count();
+        let running = engines
+            .iter()
+            .filter(|engine| upstreams.has_incarnation(&engine.id, engine.started_at))
+            .count();
         if running < call.route.max_attempts as usize {
             RerunPlace::Elsewhere
         } else if call.route.is_resumable && log.reruns.get() < MAX_RERUNS {
--- a/src/gateway/call/turn.rs
+++ b/src/gateway/call/turn.rs
@@ -108,7 +108,8 @@
             }
             TurnScope::Tokens => {
                 let upstreams = self.news.upstreams.borrow();
-                let holder = holder.filter(|held| upstreams.has_incarnation(&held.upstream, held.born));
+                let holder =
+                    holder.filter(|held| upstreams.has_incarnation(&held.upstream, held.born));
                 call.holder = holder.map(|held| held.upstream);
             }
         }
@@ -133,7 +134,8 @@
     /// The engine that holds the chain, unless it has started anew since.
     fn chain_holder(&self, chain: &TurnChain) -> Option<UpstreamId> {
         let last = chain.turns.last()?;
-        let is_current = self.news.upstreams.borrow().has_incarnation(&last.upstream, last.started_at);
+        let is_current =
+            self.news.upstreams.borrow().has_incarnation(&last.upstream, last.started_at);
         is_current.then(|| last.upstream.clone())
     }
 
--- a/src/gateway/news/mod.rs
+++ b/src/gateway/news/mod.rs
@@ -27,8 +27,8 @@
 use super::store::StoreLink;
 use crate::core::ids::UpstreamId;
 use crate::core::quotas::QuotaTerms;
-use crate::core::routing::{RouteTable, UpdateOutcome, TableVersion, TableView};
-use crate::core::upstreams::{UpstreamUpdate, UpstreamEntry, UpstreamTable};
+use crate::core::routing::{RouteTable, TableVersion, TableView, UpdateOutcome};
+use crate::core::upstreams::{UpstreamEntry, UpstreamTable, UpstreamUpdate};
 use crate::util::pause::ClockMark;
 
 pub(crate) use self::reader::{NEWS_PATH, NewsReaders};
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use merlinsaddle::core::routing::{
-    CallerLimits, RouteKind, RouteSpec, RouteTable, ServiceSpec, UpdateOutcome, TableView,
+    CallerLimits, RouteKind, RouteSpec, RouteTable, ServiceSpec, TableView, UpdateOutcome,
 };
 use rstest::rstest;
 
--- a/tests/upstream_choice.rs
+++ b/tests/upstream_choice.rs
@@ -4,7 +4,8 @@
 
 use merlinsaddle::core::ids::UpstreamId;
 use merlinsaddle::core::upstreams::{
-    AttemptResult, ChoiceRequest, UpstreamUpdate, PromptBlock, UpstreamEntry, UpstreamState, UpstreamTable,
+    AttemptResult, ChoiceRequest, PromptBlock, UpstreamEntry, UpstreamState, UpstreamTable,
+    UpstreamUpdate,
 };
 use tokio::time::{Instant, advance};
 
@@ -178,7 +179,8 @@
 }
 
 fn incarnation(id: &str, started_at: u64, state: UpstreamState) -> UpstreamUpdate {
-    UpstreamUpdate::Listed(UpstreamEntry { started_at: Some(started_at), ..entry(id, "near", state) })
+    let entry = UpstreamEntry { started_at: Some(started_at), ..entry(id, "near", state) };
+    UpstreamUpdate::Listed(entry)
 }
 
 /// Guards against a restarted engine that keeps the failures, load or cached blocks of its previous
