--- a/src/core/turns/mod.rs
+++ b/src/core/turns/mod.rs
@@ -1,10 +1,10 @@
 //! Turns of programs: records of those whose history the system keeps, and the tokens of a program.
 
 mod allowance;
+mod branches;
 mod cache;
 mod coordinator;
 mod ledger;
-mod lines;
 mod record;
 
 use std::time::Duration;
@@ -14,10 +14,10 @@
 use crate::core::ids::RequestId;
 
 pub use allowance::{AllowanceDemand, TURNS_AHEAD, TokenAllowance};
+pub use branches::{BranchName, PrefixHolder, PrefixHolders};
 pub use cache::{ChainLookup, TurnCache};
 pub use coordinator::{CoordinatorSpan, coordinator, coordinators};
 pub use ledger::{ProgramLedger, ReserveReply};
-pub use lines::{LineHolder, LineHolders, LineName};
 pub use record::{RecordError, TurnRecord, split_value};
 
 /// Name of a program, chosen by its caller.
--- a/src/gateway/call/turn.rs
+++ b/src/gateway/call/turn.rs
@@ -11,7 +11,7 @@
 use crate::core::admission::{AdmissionReply, AdmissionRequest};
 use crate::core::ids::{Tokens, UpstreamId};
 use crate::core::turns::{
-    DEFAULT_RETENTION, LineHolder, LineName, ProgramName, TurnId, TurnRecord, TurnScope,
+    BranchName, DEFAULT_RETENTION, PrefixHolder, ProgramName, TurnId, TurnRecord, TurnScope,
 };
 use crate::core::upstreams::UpstreamChoice;
 use crate::core::workspaces::owned_name;
@@ -270,8 +270,8 @@
 
 impl TurnWork {
     /// Notes which engine holds what the next turn of the line begins with.
-    pub(super) fn note_holder(&mut self, line: Option<&LineName>, choice: &UpstreamChoice) {
-        self.reservation.note_holder(LineHolder {
+    pub(super) fn note_holder(&mut self, line: Option<&BranchName>, choice: &UpstreamChoice) {
+        self.reservation.note_holder(PrefixHolder {
             line: line.cloned(),
             upstream: choice.id.clone(),
             born: choice.born,
--- a/src/gateway/dialect.rs
+++ b/src/gateway/dialect.rs
@@ -12,7 +12,7 @@
 };
 use crate::core::ids::{RequestId, Tokens, UpstreamId, WorkspaceId};
 use crate::core::routing::RouteTable;
-use crate::core::turns::{LineName, ProgramName, TurnId};
+use crate::core::turns::{BranchName, ProgramName, TurnId};
 use crate::core::upstreams::{PromptPart, UpstreamEntry};
 use crate::core::workspaces::ApiKey;
 use crate::node::platform::StoreError;
@@ -28,7 +28,7 @@
     pub affinity: Option<Box<str>>,
     pub program: Option<ProgramName>,
     /// The line of turns of the program that it belongs to.
-    pub line: Option<LineName>,
+    pub line: Option<BranchName>,
     /// Time until the whole program should be done.
     pub finish: Option<Duration>,
     /// Tokens that all turns of the program may generate together.
--- a/src/gateway/turns/allowances.rs
+++ b/src/gateway/turns/allowances.rs
@@ -10,7 +10,7 @@
 use super::claim::{CLAIM_TRIES, ClaimError, ClaimSource, ClaimedTurn, TurnClaim};
 use super::{BACKGROUND_LIMIT, ReserveError, TurnChain, TurnEnd, TurnKeeper, TurnReservation};
 use crate::core::turns::{
-    LineHolders, ProgramLedger, ProgramName, ReserveReply, TURNS_AHEAD, TokenAllowance, TurnScope,
+    PrefixHolders, ProgramLedger, ProgramName, ReserveReply, TURNS_AHEAD, TokenAllowance, TurnScope,
 };
 
 /// Unused for so long, an allowance may be given back: its program has ended or pauses.
@@ -25,7 +25,7 @@
     allowance: TokenAllowance,
     used_at: Instant,
     /// Where the last turn of each line of the program ran.
-    lines: LineHolders,
+    lines: PrefixHolders,
     /// Whether it holds no tokens ahead, as another instance coordinates the program.
     stands_in: bool,
 }
@@ -53,7 +53,7 @@
             *made += 1;
             let name = format!("{life:016x}-{made}").into();
             let allowance = TokenAllowance::new(name);
-            let lines = LineHolders::default();
+            let lines = PrefixHolders::default();
             HeldAllowance { allowance, used_at: Instant::now(), lines, stands_in }
         })
     }
@@ -179,7 +179,7 @@
         let Some(held) = allowances.held.get_mut(program) else { return };
         held.allowance.end(turn, *used);
         if let Some(line) = ran_at {
-            held.lines.note(line.clone());
+            held.lines.record(line.clone());
         }
         // The coordinator needs what is left here.
         if held.stands_in && held.allowance.is_idle() {
--- a/src/gateway/turns/claim.rs
+++ b/src/gateway/turns/claim.rs
@@ -8,7 +8,7 @@
 
 use super::{ChainError, ReserveError, TurnChain, TurnKeeper, TurnReservation};
 use crate::core::ids::Tokens;
-use crate::core::turns::{LineHolder, LineName, ProgramName, TurnId, TurnScope};
+use crate::core::turns::{BranchName, PrefixHolder, ProgramName, TurnId, TurnScope};
 use crate::node::platform::StoreError;
 
 /// Times a turn is claimed before what it continues from counts as gone.
@@ -30,7 +30,7 @@
     pub(crate) scope: TurnScope,
     /// The line of turns that it belongs to.
     #[serde(default)]
-    pub(crate) line: Option<LineName>,
+    pub(crate) line: Option<BranchName>,
     /// Whether the program is turned away unless it has had turns before.
     #[serde(default)]
     pub(crate) only_known: bool,
@@ -54,7 +54,7 @@
 pub(crate) struct ClaimedTurn {
     pub(crate) chain: TurnChain,
     /// The engine that ran the turn before, where the history is not kept.
-    pub(crate) holder: Option<LineHolder>,
+    pub(crate) holder: Option<PrefixHolder>,
     pub(crate) reservation: TurnReservation,
 }
 
--- a/src/gateway/turns/messages.rs
+++ b/src/gateway/turns/messages.rs
@@ -4,7 +4,7 @@
 
 use super::claim::TurnClaim;
 use crate::core::ids::Tokens;
-use crate::core::turns::{LineHolder, ProgramName, TurnId, TurnScope};
+use crate::core::turns::{PrefixHolder, ProgramName, TurnId, TurnScope};
 
 /// A claim on its way to a coordinator.
 #[derive(Debug, Serialize, Deserialize)]
@@ -30,7 +30,7 @@
     Granted {
         chain: Vec<ChainTurn>,
         #[serde(default)]
-        holder: Option<LineHolder>,
+        holder: Option<PrefixHolder>,
     },
     NoSuchTurn,
     NotAdmitted,
@@ -57,5 +57,5 @@
     pub(super) scope: TurnScope,
     /// Where it ran whole.
     #[serde(default)]
-    pub(super) ran_at: Option<LineHolder>,
+    pub(super) ran_at: Option<PrefixHolder>,
 }
--- a/src/gateway/turns/mod.rs
+++ b/src/gateway/turns/mod.rs
@@ -29,7 +29,7 @@
 use super::store::StoreLink;
 use crate::core::ids::Tokens;
 use crate::core::turns::{
-    LineHolder, ProgramLedger, ProgramName, TurnCache, TurnId, TurnRecord, TurnScope,
+    PrefixHolder, ProgramLedger, ProgramName, TurnCache, TurnId, TurnRecord, TurnScope,
 };
 use crate::node::platform::StoreError;
 
@@ -95,7 +95,7 @@
     settled: bool,
     scope: TurnScope,
     /// Where it ran whole.
-    ran_at: Option<LineHolder>,
+    ran_at: Option<PrefixHolder>,
     /// The peer that claimed it for this instance.
     coordinator: Option<Box<str>>,
 }
@@ -112,7 +112,7 @@
     }
 
     /// Notes where the turn ran whole, for those that follow it.
-    pub(crate) fn note_holder(&mut self, holder: LineHolder) {
+    pub(crate) fn note_holder(&mut self, holder: PrefixHolder) {
         self.ran_at = Some(holder);
     }
 
--- a/src/gateway/turns/serve.rs
+++ b/src/gateway/turns/serve.rs
@@ -10,7 +10,7 @@
 use super::claim::{ClaimError, ClaimSource, TurnClaim};
 use super::messages::{ChainTurn, ClaimReply, ClaimRequest, KeepRequest, TurnEnd};
 use super::{BACKGROUND_LIMIT, CLAIM_PATH, SETTLE_PATH, TurnKeeper};
-use crate::core::turns::{LineHolder, TurnRecord, TurnScope};
+use crate::core::turns::{PrefixHolder, TurnRecord, TurnScope};
 use crate::util::framed::{frame, unframe};
 
 impl TurnKeeper {
@@ -40,7 +40,7 @@
         &self,
         claim: &TurnClaim,
         records: &[Rc<TurnRecord>],
-        holder: Option<LineHolder>,
+        holder: Option<PrefixHolder>,
     ) -> Bytes {
         let cache = self.cache.borrow();
         let encoded: Vec<Bytes> = records.iter().map(|record| record.encode()).collect();
--- a/tests/stored_bytes.rs
+++ b/tests/stored_bytes.rs
@@ -12,7 +12,7 @@
 use merlinsaddle::core::ownership::{IncarnationRow, ShardRow};
 use merlinsaddle::core::quotas::{LimitSample, QuotaAsk, QuotaReply};
 use merlinsaddle::core::timeline::TimelineEvent;
-use merlinsaddle::core::turns::{LineHolder, ProgramLedger, TurnRecord, TurnScope};
+use merlinsaddle::core::turns::{PrefixHolder, ProgramLedger, TurnRecord, TurnScope};
 use merlinsaddle::gateway::GatewaySettings;
 use merlinsaddle::node::calls::CallTarget;
 use merlinsaddle::node::platform::{CommitReply, KeyedRow, RosterEntry, TableTransaction};
@@ -64,7 +64,7 @@
 #[rstest]
 #[case::ledger(rewrite::<ProgramLedger>, r#"{"s":5,"o":{"t1":40,"t2":6},"k":1700}"#)]
 #[case::scope(rewrite::<Vec<TurnScope>>, r#"["history","tokens"]"#)]
-#[case::holder(rewrite::<LineHolder>, r#"{"line":"l","upstream":"u","born":12}"#)]
+#[case::holder(rewrite::<PrefixHolder>, r#"{"line":"l","upstream":"u","born":12}"#)]
 #[case::quota_ask(rewrite::<QuotaAsk>, r#"{"opens":true}"#)]
 #[case::quota_replies(
     rewrite::<Vec<QuotaReply>>,
