--- a/src/core/turns/coordinator.rs
+++ b/src/core/turns/coordinator.rs
@@ -1,4 +1,4 @@
-//! Which instance of a zone coordinates a program.
+//! Chooses the instance of a zone that coordinates the turns of a program.
 
 use std::time::Duration;
 
@@ -6,55 +6,52 @@
 
 use crate::core::members::{favourite, leaders};
 
-/// Instances for each coordinator where they are busy: enough turns meet at it that most records travel
-/// with another turn's reservation.
-const BUSY_SPAN: usize = 4;
-/// Instances for each coordinator where they are not.
-const QUIET_SPAN: usize = 12;
-/// Turns a second of an instance below which it counts as quiet, and above which it no longer does. The
-/// hysteresis keeps bursts from moving programs between coordinators.
-const QUIET_BELOW: f64 = 4.5;
-const BUSY_ABOVE: f64 = 12.0;
-/// Time over which turns are counted, fading.
-const RATE_FADE: Duration = Duration::from_secs(5);
+/// Low, so that enough turns meet at a coordinator for most records to travel with another turn's
+/// reservation.
+const BUSY_INSTANCES_PER_COORDINATOR: usize = 4;
+const QUIET_INSTANCES_PER_COORDINATOR: usize = 12;
+/// An instance above the high mark is busy until it falls below the low one. The hysteresis keeps
+/// bursts from moving programs between coordinators.
+const LOW_TURNS_PER_SECOND: f64 = 4.5;
+const HIGH_TURNS_PER_SECOND: f64 = 12.0;
+const RATE_DECAY: Duration = Duration::from_secs(5);
 
-/// How many instances share a coordinator, by the turns that this one gets. Callers choose instances
-/// evenly, so all come to the same; where they do not for a while, two coordinators have a program,
-/// which does no harm.
+/// How many instances share a coordinator, by the turn rate of this one.
+///
+/// Callers choose instances evenly, so instances agree on it. While they do not, a program has two
+/// coordinators, which is harmless.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct CoordinatorSpan {
     rate: f64,
-    at: Option<Instant>,
-    busy: bool,
+    updated_at: Option<Instant>,
+    is_busy: bool,
 }
 
 impl CoordinatorSpan {
-    /// Counts a turn.
-    pub fn note_turn(&mut self, now: Instant) {
-        self.rate = self.rate_at(now) + 1.0 / RATE_FADE.as_secs_f64();
-        self.at = Some(now);
-        self.busy = match self.busy {
-            true => self.rate >= QUIET_BELOW,
-            false => self.rate > BUSY_ABOVE,
+    pub fn record_turn(&mut self, now: Instant) {
+        self.rate = self.rate_at(now) + 1.0 / RATE_DECAY.as_secs_f64();
+        self.updated_at = Some(now);
+        self.is_busy = match self.is_busy {
+            true => self.rate >= LOW_TURNS_PER_SECOND,
+            false => self.rate > HIGH_TURNS_PER_SECOND,
         };
     }
 
-    /// Turns a second of late.
+    /// Turns per second, as an exponentially decaying average.
     fn rate_at(&self, now: Instant) -> f64 {
-        let age = self.at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        self.rate * (-age.as_secs_f64() / RATE_FADE.as_secs_f64()).exp()
+        let age = self.updated_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
+        self.rate * (-age.as_secs_f64() / RATE_DECAY.as_secs_f64()).exp()
     }
 
     pub fn instances(&self) -> usize {
-        if self.busy { BUSY_SPAN } else { QUIET_SPAN }
+        if self.is_busy { BUSY_INSTANCES_PER_COORDINATOR } else { QUIET_INSTANCES_PER_COORDINATOR }
     }
 }
 
-/// The member of a zone that coordinates a program, out of those that serve callers, one of `span`.
+/// Chooses a program's coordinator among the members that serve callers, one of each `span`.
 ///
-/// It is a hint: all instances that agree on the members name the same one, and those that do not do
-/// no harm, since the store judges each write. When the members change, only programs of the changed
-/// coordinators move.
+/// The result is a hint: instances that disagree on the members do no harm, since the store checks
+/// each write. When the members change, only programs of the changed coordinators move.
 pub fn coordinator<'a>(
     program: &str,
     span: usize,
@@ -63,7 +60,7 @@
     favourite(program, coordinators(span, members))
 }
 
-/// The members of a zone that coordinate programs, one of `span`.
+/// The members of a zone that coordinate programs, one of each `span`.
 pub fn coordinators<'a>(span: usize, members: impl IntoIterator<Item = &'a str>) -> Vec<&'a str> {
     leaders("turns", span, members)
 }
--- a/src/gateway/members/mod.rs
+++ b/src/gateway/members/mod.rs
@@ -160,7 +160,7 @@
     /// none if that is this one or there is none.
     pub(crate) fn coordinator(&self, program: &str) -> Option<Box<str>> {
         let mut span = self.span.get();
-        span.note_turn(Instant::now());
+        span.record_turn(Instant::now());
         self.span.set(span);
         let table = self.table.borrow();
         let me = table.me();
--- a/tests/coordinator_choice.rs
+++ b/tests/coordinator_choice.rs
@@ -10,7 +10,7 @@
 async fn turns(span: &mut CoordinatorSpan, per_second: u32, seconds: u32) {
     for _ in 0..per_second * seconds {
         tokio::time::advance(Duration::from_secs(1) / per_second).await;
-        span.note_turn(Instant::now());
+        span.record_turn(Instant::now());
     }
 }
 
