--- a/src/core/turns/allowance.rs
+++ b/src/core/turns/allowance.rs
@@ -5,30 +5,29 @@
 use super::TurnId;
 use crate::core::ids::Tokens;
 
-/// Turns ahead for which an allowance is made.
-pub const TURNS_AHEAD: u64 = 4;
+/// Turns that an allowance is extended for beyond the one that asks.
+pub const PREALLOCATED_TURNS: u64 = 4;
 
 /// What an allowance must hold for one more turn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AllowanceDemand {
-    /// Tokens of all its turns, each with the most it may generate while it runs.
-    pub least: Tokens,
-    /// The part of them that running turns cannot give back.
-    pub lasting: Tokens,
+    /// Tokens of all its turns, each running one counted with its maximum output.
+    pub min_tokens: Tokens,
+    /// The part of `min_tokens` that the end of other running turns cannot release.
+    pub nonrefundable_tokens: Tokens,
 }
 
-/// What turns have taken out of tokens that a ledger holds under one name.
+/// What turns have used of tokens that a ledger holds in one reservation.
 ///
-/// The ledger in the store knows the allowance as a single open reservation; which turns share it is
-/// known at the instance that holds it. If that instance dies, the whole reservation stays spent, so
-/// no token is handed out twice.
+/// Only the instance that holds the reservation knows which turns share it. If that instance dies,
+/// all of it stays spent, so no token is handed out twice.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TokenAllowance {
-    /// Its name in the ledger, which no other allowance of the program ever has.
+    /// Name of the reservation in the ledger, unique among all allowances of the program.
     name: TurnId,
     /// Tokens of turns that have ended.
     used: Tokens,
-    /// Most tokens of turns that run.
+    /// Maximum output of the turns that run.
     running: BTreeMap<TurnId, Tokens>,
 }
 
@@ -42,9 +41,12 @@
     }
 
     /// What the ledger must hold for this turn to run besides the others.
-    pub fn demand(&self, turn: &TurnId, most: Tokens) -> AllowanceDemand {
+    pub fn demand(&self, turn: &TurnId, max_tokens: Tokens) -> AllowanceDemand {
         let known = self.running.get(turn).copied().unwrap_or_default();
-        AllowanceDemand { least: self.committed() - known + most, lasting: self.used + most }
+        AllowanceDemand {
+            min_tokens: self.committed() - known + max_tokens,
+            nonrefundable_tokens: self.used + max_tokens,
+        }
     }
 
     /// Tokens used, or held for turns that run.
@@ -52,12 +54,12 @@
         self.used + self.running.values().sum::<Tokens>()
     }
 
-    /// Begins a turn. Doing so twice changes nothing.
-    pub fn start(&mut self, turn: &TurnId, most: Tokens) {
-        self.running.insert(turn.clone(), most);
+    /// Idempotent.
+    pub fn start(&mut self, turn: &TurnId, max_tokens: Tokens) {
+        self.running.insert(turn.clone(), max_tokens);
     }
 
-    /// Ends a turn that handed out so many tokens; false if none of that name runs.
+    /// Replaces a turn's maximum by what it used; false if no such turn runs.
     pub fn end(&mut self, turn: &TurnId, used: Tokens) -> bool {
         let ran = self.running.remove(turn).is_some();
         if ran {
@@ -66,7 +68,6 @@
         ran
     }
 
-    /// Whether no turn runs.
     pub fn is_idle(&self) -> bool {
         self.running.is_empty()
     }
--- a/src/core/turns/ledger.rs
+++ b/src/core/turns/ledger.rs
@@ -60,18 +60,18 @@
         ahead: Tokens,
         budget: Tokens,
     ) -> ReserveReply {
-        let AllowanceDemand { least, lasting } = demand;
+        let AllowanceDemand { min_tokens, nonrefundable_tokens } = demand;
         let held = self.held(name);
-        if held >= least {
+        if held >= min_tokens {
             return ReserveReply::Reserved;
         }
         let committed = self.committed();
         let room = budget.saturating_sub(committed - held);
-        if room < least {
-            let lasting = self.spent.saturating_add(lasting) > budget;
+        if room < min_tokens {
+            let lasting = self.spent.saturating_add(nonrefundable_tokens) > budget;
             return ReserveReply::Exhausted { committed, lasting };
         }
-        self.open.insert(name.clone(), least + ahead.min((room - least) / 2));
+        self.open.insert(name.clone(), min_tokens + ahead.min((room - min_tokens) / 2));
         ReserveReply::Reserved
     }
 
--- a/src/core/turns/mod.rs
+++ b/src/core/turns/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::core::ids::RequestId;
 
-pub use allowance::{AllowanceDemand, TURNS_AHEAD, TokenAllowance};
+pub use allowance::{AllowanceDemand, PREALLOCATED_TURNS, TokenAllowance};
 pub use branches::{BranchName, PrefixHolder, PrefixHolders};
 pub use cache::{ChainLookup, TurnCache};
 pub use coordinator::{CoordinatorSpan, coordinator, coordinators};
--- a/src/gateway/turns/allowances.rs
+++ b/src/gateway/turns/allowances.rs
@@ -10,7 +10,8 @@
 use super::claim::{CLAIM_TRIES, ClaimError, ClaimSource, ClaimedTurn, TurnClaim};
 use super::{BACKGROUND_LIMIT, ReserveError, TurnChain, TurnEnd, TurnKeeper, TurnReservation};
 use crate::core::turns::{
-    PrefixHolders, ProgramLedger, ProgramName, ReserveReply, TURNS_AHEAD, TokenAllowance, TurnScope,
+    PREALLOCATED_TURNS, PrefixHolders, ProgramLedger, ProgramName, ReserveReply, TokenAllowance,
+    TurnScope,
 };
 
 /// Unused for so long, an allowance may be given back: its program has ended or pauses.
@@ -134,7 +135,7 @@
         let Some((_, ledger)) = self.cache.borrow().ledger(&claim.program) else { return false };
         let demand = held.allowance.demand(&claim.turn, claim.most);
         let lasts = ledger.kept_until() >= self.kept_until(claim.retention);
-        if !lasts || ledger.held(held.allowance.name()) < demand.least {
+        if !lasts || ledger.held(held.allowance.name()) < demand.min_tokens {
             return false;
         }
         held.allowance.start(&claim.turn, claim.most);
@@ -154,7 +155,7 @@
         let held = allowances.get_or_make(&claim.program, !is_ahead);
         let is_ahead = is_ahead && !held.stands_in;
         let demand = held.allowance.demand(&claim.turn, claim.most);
-        let ahead = if is_ahead { claim.most.saturating_mul(TURNS_AHEAD) } else { 0 };
+        let ahead = if is_ahead { claim.most.saturating_mul(PREALLOCATED_TURNS) } else { 0 };
         let reply = ledger.extend(held.allowance.name(), demand, ahead, claim.budget);
         if reply == ReserveReply::Reserved {
             held.allowance.start(&claim.turn, claim.most);
--- a/tests/token_allowances.rs
+++ b/tests/token_allowances.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use merlinsaddle::core::turns::{ProgramLedger, ReserveReply, TURNS_AHEAD, TokenAllowance, TurnId};
+use merlinsaddle::core::turns::{
+    PREALLOCATED_TURNS, ProgramLedger, ReserveReply, TokenAllowance, TurnId,
+};
 use proptest::prelude::*;
 
 const HOLDERS: usize = 3;
@@ -94,9 +96,9 @@
             let holder = &mut self.holders[number];
             let demand = holder.allowance.demand(&turn, most);
             let name = holder.allowance.name().clone();
-            if holder.seen.1.held(&name) < demand.least {
+            if holder.seen.1.held(&name) < demand.min_tokens {
                 let mut ledger = holder.seen.1.clone();
-                let ahead = if is_ahead { most * TURNS_AHEAD } else { 0 };
+                let ahead = if is_ahead { most * PREALLOCATED_TURNS } else { 0 };
                 let reply = ledger.extend(&name, demand, ahead, BUDGET);
                 if reply != ReserveReply::Reserved {
                     return;
