--- a/src/core/turns/cache.rs
+++ b/src/core/turns/cache.rs
@@ -98,7 +98,7 @@
     pub fn ledger(&self, program: &str) -> Option<(RowVersion, ProgramLedger)> {
         let (version, mut ledger) = self.programs.get(program)?.ledger.clone()?;
         let ended: Vec<(TurnId, Tokens)> = ledger
-            .open_turns()
+            .reserved_turns()
             .filter_map(|turn| Some((turn.clone(), self.turns.get(turn)?.record.used)))
             .collect();
         for (turn, used) in ended {
--- a/src/gateway/sweep.rs
+++ b/src/gateway/sweep.rs
@@ -157,7 +157,7 @@
             return Ok(None);
         }
         let ledger: Option<ProgramLedger> = serde_json::from_slice(&value).ok();
-        Ok(ledger.map(|ledger| (version, ledger.kept_until())))
+        Ok(ledger.map(|ledger| (version, ledger.retained_until())))
     }
 
     /// Removes a program's turns, then its ledger; false if it came to life meanwhile.
--- a/src/gateway/turns/allowances.rs
+++ b/src/gateway/turns/allowances.rs
@@ -134,8 +134,8 @@
         let Some(held) = allowances.held.get_mut(&claim.program) else { return false };
         let Some((_, ledger)) = self.cache.borrow().ledger(&claim.program) else { return false };
         let demand = held.allowance.demand(&claim.turn, claim.most);
-        let lasts = ledger.kept_until() >= self.kept_until(claim.retention);
-        if !lasts || ledger.held(held.allowance.name()) < demand.min_tokens {
+        let lasts = ledger.retained_until() >= self.kept_until(claim.retention);
+        if !lasts || ledger.reserved(held.allowance.name()) < demand.min_tokens {
             return false;
         }
         held.allowance.start(&claim.turn, claim.most);
--- a/src/gateway/turns/mod.rs
+++ b/src/gateway/turns/mod.rs
@@ -245,7 +245,7 @@
     ) -> Result<(), ReserveError> {
         loop {
             let (version, mut ledger) = self.ledger(program);
-            ledger.keep_until(self.kept_until(retention));
+            ledger.retain_until(self.kept_until(retention));
             match self.write_ledger(program, version, ledger, RESERVE_PATIENCE).await {
                 Ok(LedgerReply::Written) => return Ok(()),
                 Ok(LedgerReply::Gone) => return Err(ReserveError::Expired),
@@ -315,7 +315,7 @@
             match self.write_ledger(program, version, ledger, SETTLE_PATIENCE).await {
                 Ok(LedgerReply::Written) => return,
                 // An earlier try took effect, and only its reply was lost.
-                Ok(_) if !self.ledger(program).1.is_open(turn) => return,
+                Ok(_) if !self.ledger(program).1.is_reserved(turn) => return,
                 Ok(_) => {}
                 Err(error) => {
                     if self.pause_before_retry(limit).await {
--- a/src/gateway/turns/reserve.rs
+++ b/src/gateway/turns/reserve.rs
@@ -163,10 +163,10 @@
             };
             match reply {
                 ReserveReply::Reserved => {
-                    ledger.keep_until(self.kept_until(claim.kept_for()));
+                    ledger.retain_until(self.kept_until(claim.kept_for()));
                     granted.push(pending);
                 }
-                ReserveReply::Exhausted { committed, lasting } if pending.fresh || lasting => {
+                ReserveReply::Exhausted { committed, permanent } if pending.fresh || permanent => {
                     pending.end(Err(ReserveError::Exhausted { committed }));
                 }
                 ReserveReply::Exhausted { .. } => short.push(pending),
@@ -205,7 +205,7 @@
         let (_, ledger) = self.ledger(program);
         let mut left = Vec::new();
         for mut pending in group {
-            if ledger.is_open(&pending.claim.turn) {
+            if ledger.is_reserved(&pending.claim.turn) {
                 pending.end(Ok(()));
                 continue;
             }
--- a/tests/token_allowances.rs
+++ b/tests/token_allowances.rs
@@ -96,7 +96,7 @@
             let holder = &mut self.holders[number];
             let demand = holder.allowance.demand(&turn, most);
             let name = holder.allowance.name().clone();
-            if holder.seen.1.held(&name) < demand.min_tokens {
+            if holder.seen.1.reserved(&name) < demand.min_tokens {
                 let mut ledger = holder.seen.1.clone();
                 let ahead = if is_ahead { most * PREALLOCATED_TURNS } else { 0 };
                 let reply = ledger.extend(&name, demand, ahead, BUDGET);
@@ -128,7 +128,7 @@
         }
         let fresh = self.new_life();
         let former = std::mem::replace(&mut self.holders[number].allowance, fresh.allowance);
-        while self.holders[number].seen.1.held(former.name()) > 0 {
+        while self.holders[number].seen.1.reserved(former.name()) > 0 {
             let mut ledger = self.holders[number].seen.1.clone();
             ledger.settle(former.name(), former.committed());
             if self.write(number, ledger, false) {
@@ -179,5 +179,5 @@
     let allowance = TokenAllowance::new("a".into());
     let demand = allowance.demand(&"t".into(), 20);
     assert_eq!(ledger.extend(allowance.name(), demand, 1_000, 100), ReserveReply::Reserved);
-    assert_eq!(ledger.held(allowance.name()), 60);
+    assert_eq!(ledger.reserved(allowance.name()), 60);
 }
--- a/tests/turn_ledgers.rs
+++ b/tests/turn_ledgers.rs
@@ -88,10 +88,10 @@
     let mut ledger = ProgramLedger::default();
     assert_eq!(ledger.reserve(&"a".into(), 60, 100), ReserveReply::Reserved);
     let short = ledger.reserve(&"b".into(), 60, 100);
-    assert_eq!(short, ReserveReply::Exhausted { committed: 60, lasting: false });
+    assert_eq!(short, ReserveReply::Exhausted { committed: 60, permanent: false });
     ledger.settle(&"a".into(), 50);
     let spent = ledger.reserve(&"b".into(), 60, 100);
-    assert_eq!(spent, ReserveReply::Exhausted { committed: 50, lasting: true });
+    assert_eq!(spent, ReserveReply::Exhausted { committed: 50, permanent: true });
 }
 
 #[test]
