--- a/src/core/turns/cache.rs
+++ b/src/core/turns/cache.rs
@@ -1,4 +1,4 @@
-//! Turns this instance has seen. Records never change, so a cached one is never out of date.
+//! Caches turns and ledgers of programs. Records are immutable, so a cached one is never stale.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -9,19 +9,17 @@
 /// Version of a row; 0 if there is none.
 pub type RowVersion = u64;
 
-/// What the cache knows of a chain.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ChainLookup {
-    /// All turns from the oldest to the one asked for.
-    Whole(Vec<Rc<TurnRecord>>),
-    /// This turn is not here; the store may have it.
+    /// All turns, the oldest first.
+    Complete(Vec<Rc<TurnRecord>>),
+    /// The youngest turn that is not cached; the store may have it.
     Missing(TurnId),
 }
 
 #[derive(Debug)]
 struct CachedTurn {
     record: Rc<TurnRecord>,
-    /// The program that made it.
     program: ProgramName,
 }
 
@@ -30,34 +28,33 @@
     turns: Vec<TurnId>,
     ledger: Option<(RowVersion, ProgramLedger)>,
     bytes: usize,
-    used: u64,
+    last_use: u64,
 }
 
-/// A bounded cache of programs; the least recently used ones yield.
+/// Evicts whole programs, the least recently used first.
 #[derive(Debug)]
 pub struct TurnCache {
-    /// By turn alone: a program may go on from a turn of another one.
+    /// By turn alone: a program may continue from a turn of another one.
     turns: HashMap<TurnId, CachedTurn>,
     programs: HashMap<ProgramName, CachedProgram>,
-    /// Programs by last use.
-    order: BTreeMap<u64, ProgramName>,
+    by_last_use: BTreeMap<u64, ProgramName>,
     bytes: usize,
     max_bytes: usize,
-    uses: u64,
+    use_count: u64,
 }
 
-/// What an entry costs beyond its text, in bytes.
-const ENTRY_OVERHEAD: usize = 400;
+/// Estimated memory of an entry beyond its text.
+const ENTRY_OVERHEAD_BYTES: usize = 400;
 
 impl TurnCache {
     pub fn new(max_bytes: usize) -> Self {
         Self {
             turns: HashMap::new(),
             programs: HashMap::new(),
-            order: BTreeMap::new(),
+            by_last_use: BTreeMap::new(),
             bytes: 0,
             max_bytes,
-            uses: 0,
+            use_count: 0,
         }
     }
 
@@ -71,12 +68,11 @@
             next = turn.record.previous.clone();
         }
         chain.reverse();
-        ChainLookup::Whole(chain)
+        ChainLookup::Complete(chain)
     }
 
-    /// Adds a turn that `program` made.
     pub fn insert(&mut self, program: &ProgramName, turn: TurnId, record: Rc<TurnRecord>) {
-        let size = record.bytes() + ENTRY_OVERHEAD;
+        let size = record.bytes() + ENTRY_OVERHEAD_BYTES;
         let cached = CachedTurn { record, program: program.clone() };
         if self.turns.insert(turn.clone(), cached).is_none() {
             let cached = self.programs.entry(program.clone()).or_default();
@@ -88,13 +84,11 @@
         self.evict();
     }
 
-    /// The program that made a turn, if the turn is here.
     pub fn program_of(&self, turn: &TurnId) -> Option<ProgramName> {
         self.turns.get(turn).map(|turn| turn.program.clone())
     }
 
-    /// The ledger as it was last read or written here, with what is known of its turns that have
-    /// ended since.
+    /// The newest known ledger, with the reservations settled whose turns are cached.
     pub fn ledger(&self, program: &str) -> Option<(RowVersion, ProgramLedger)> {
         let (version, mut ledger) = self.programs.get(program)?.ledger.clone()?;
         let ended: Vec<(TurnId, Tokens)> = ledger
@@ -107,7 +101,7 @@
         Some((version, ledger))
     }
 
-    /// Notes the ledger's newest known state; an older one changes nothing.
+    /// Ignores a ledger older than the cached one.
     pub fn set_ledger(
         &mut self,
         program: &ProgramName,
@@ -116,8 +110,8 @@
     ) {
         let cached = self.programs.entry(program.clone()).or_default();
         if cached.ledger.is_none() {
-            cached.bytes += ENTRY_OVERHEAD;
-            self.bytes += ENTRY_OVERHEAD;
+            cached.bytes += ENTRY_OVERHEAD_BYTES;
+            self.bytes += ENTRY_OVERHEAD_BYTES;
         }
         if cached.ledger.as_ref().is_none_or(|(known, _)| *known <= version) {
             cached.ledger = Some((version, ledger));
@@ -126,44 +120,42 @@
         self.evict();
     }
 
-    /// Whether a program's ledger is known here.
-    pub fn knows_ledger(&self, program: &str) -> bool {
+    pub fn has_ledger(&self, program: &str) -> bool {
         self.programs.get(program).is_some_and(|cached| cached.ledger.is_some())
     }
 
-    /// Drops all that is known of a program.
-    pub fn forget(&mut self, program: &str) {
+    pub fn remove(&mut self, program: &str) {
         let Some(cached) = self.programs.remove(program) else { return };
-        self.order.remove(&cached.used);
-        self.drop_turns(cached);
+        self.by_last_use.remove(&cached.last_use);
+        self.remove_turns(cached);
     }
 
-    fn drop_turns(&mut self, cached: CachedProgram) {
+    fn remove_turns(&mut self, cached: CachedProgram) {
         self.bytes -= cached.bytes;
         for turn in cached.turns {
             self.turns.remove(&turn);
         }
     }
 
-    /// Text the cache holds, in bytes.
+    /// Includes the estimated overhead of each entry.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Notes a use of a program, so that it yields later.
+    /// Marks a program as the most recently used.
     pub fn touch(&mut self, program: &str) {
         let Some(cached) = self.programs.get_mut(program) else { return };
-        self.uses += 1;
-        self.order.remove(&cached.used);
-        cached.used = self.uses;
-        self.order.insert(self.uses, program.into());
+        self.use_count += 1;
+        self.by_last_use.remove(&cached.last_use);
+        cached.last_use = self.use_count;
+        self.by_last_use.insert(self.use_count, program.into());
     }
 
     fn evict(&mut self) {
-        while self.bytes > self.max_bytes && self.order.len() > 1 {
-            let Some((_, program)) = self.order.pop_first() else { return };
+        while self.bytes > self.max_bytes && self.by_last_use.len() > 1 {
+            let Some((_, program)) = self.by_last_use.pop_first() else { return };
             let Some(cached) = self.programs.remove(&program) else { continue };
-            self.drop_turns(cached);
+            self.remove_turns(cached);
         }
     }
 }
--- a/src/core/turns/ledger.rs
+++ b/src/core/turns/ledger.rs
@@ -70,7 +70,8 @@
             let permanent = self.spent.saturating_add(nonrefundable_tokens) > budget;
             return ReserveReply::Exhausted { committed, permanent };
         }
-        self.reservations.insert(name.clone(), min_tokens + ahead.min((available - min_tokens) / 2));
+        self.reservations
+            .insert(name.clone(), min_tokens + ahead.min((available - min_tokens) / 2));
         ReserveReply::Reserved
     }
 
--- a/src/gateway/turns/allowances.rs
+++ b/src/gateway/turns/allowances.rs
@@ -95,7 +95,7 @@
         source: ClaimSource,
     ) -> Result<ClaimedTurn, ClaimError> {
         let coordinates = matches!(source, ClaimSource::Own | ClaimSource::Peer);
-        if claim.only_known && coordinates && !self.cache.borrow().knows_ledger(&claim.program) {
+        if claim.only_known && coordinates && !self.cache.borrow().has_ledger(&claim.program) {
             return Err(ClaimError::NotAdmitted);
         }
         self.prune_allowances();
--- a/src/gateway/turns/chain.rs
+++ b/src/gateway/turns/chain.rs
@@ -47,7 +47,7 @@
         let mut loaded: Vec<ProgramName> = Vec::new();
         loop {
             let missing = match self.lookup(turn) {
-                ChainLookup::Whole(turns) => return Ok(self.whole_chain(program, turn, turns)),
+                ChainLookup::Complete(turns) => return Ok(self.whole_chain(program, turn, turns)),
                 ChainLookup::Missing(missing) => missing,
             };
             let next = if loaded.contains(program) {
@@ -79,7 +79,7 @@
 
     /// Whether all of a chain is here.
     pub(super) fn has_chain(&self, turn: &TurnId) -> bool {
-        matches!(self.lookup(turn), ChainLookup::Whole(_))
+        matches!(self.lookup(turn), ChainLookup::Complete(_))
     }
 
     fn lookup(&self, turn: &TurnId) -> ChainLookup {
--- a/src/gateway/turns/rows.rs
+++ b/src/gateway/turns/rows.rs
@@ -98,7 +98,7 @@
     ) -> bool {
         let gone = expected > 0 && !rows.iter().any(|row| &*row.key.key == LEDGER_KEY);
         if gone {
-            self.cache.borrow_mut().forget(program);
+            self.cache.borrow_mut().remove(program);
             self.allowances.borrow_mut().forget(program);
         }
         let ledgers = rows.into_iter().filter(|row| &*row.key.key == LEDGER_KEY);
--- a/tests/turn_ledgers.rs
+++ b/tests/turn_ledgers.rs
@@ -125,12 +125,12 @@
     cache.insert(&programs[0], "p1".into(), record(None, 1_000));
     cache.insert(&programs[0], "p2".into(), record(Some("p1"), 500));
     cache.insert(&programs[1], "q1".into(), record(Some("p2"), 500));
-    assert!(matches!(cache.chain(&"q1".into()), ChainLookup::Whole(chain) if chain.len() == 3));
+    assert!(matches!(cache.chain(&"q1".into()), ChainLookup::Complete(chain) if chain.len() == 3));
     cache.touch("p");
     cache.insert(&programs[2], "r1".into(), record(None, 1_000));
     assert_eq!(cache.chain(&"q1".into()), ChainLookup::Missing("q1".into()));
     assert_eq!(cache.program_of(&"p2".into()), Some("p".into()));
-    cache.forget("p");
+    cache.remove("p");
     assert_eq!(cache.chain(&"p2".into()), ChainLookup::Missing("p2".into()));
     assert!(cache.bytes() <= 4_000);
 }
