--- a/src/core/turns/record.rs
+++ b/src/core/turns/record.rs
@@ -1,4 +1,4 @@
-//! One finished turn as the store keeps it.
+//! The stored record of a finished turn and its encoding.
 
 use std::ops::Range;
 
@@ -11,28 +11,27 @@
 use crate::core::upstreams::BirthMillis;
 use crate::util::framed::{frame, unframe};
 
-/// What a caller sent and what the engine answered. It never changes once it is written.
+/// What a caller sent and what the engine answered; immutable once written.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TurnRecord {
-    /// The turn it continues from; none at the start of a chain.
+    /// None at the start of a chain.
     pub previous: Option<TurnId>,
-    /// The program that made that turn, where it is another one than this turn's.
+    /// The program of the previous turn, if it differs from this turn's.
     pub origin: Option<ProgramName>,
-    /// The engine that ran it and so holds the chain in its memory.
+    /// The engine that ran the turn and so holds the chain in its memory.
     pub upstream: UpstreamId,
-    /// Which life of it, where it tells.
+    /// Incarnation of the engine; absent if the engine does not report it.
     pub born: Option<BirthMillis>,
-    /// Tokens passed on to the caller. The record settles the turn's reservation by being there.
+    /// Tokens sent to the caller. The record's existence settles the turn's reservation.
     pub used: Tokens,
-    /// The caller's new input.
     pub input: Bytes,
     /// The data of each event, each followed by a line feed.
     pub output: Bytes,
 }
 
-/// The first line of a stored record; input and output follow it.
+/// The first line of a stored record, before input and output.
 #[derive(Debug, Serialize, Deserialize)]
-struct RecordHead {
+struct RecordHeader {
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
     previous: Option<TurnId>,
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
@@ -47,17 +46,15 @@
     input: usize,
 }
 
-/// A stored record that cannot be read.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-#[display("the stored turn is malformed: {reason}")]
+#[display("stored turn record is malformed: {reason}")]
 pub struct RecordError {
     reason: Box<str>,
 }
 
 impl TurnRecord {
-    /// The stored form.
     pub fn encode(&self) -> Bytes {
-        let head = RecordHead {
+        let header = RecordHeader {
             previous: self.previous.clone(),
             origin: self.origin.clone(),
             upstream: self.upstream.clone(),
@@ -65,35 +62,34 @@
             used: self.used,
             input: self.input.len(),
         };
-        frame(&head, &[&self.input, &self.output])
+        frame(&header, &[&self.input, &self.output])
     }
 
-    /// Reads what [`TurnRecord::encode`] wrote.
     pub fn decode(value: Bytes) -> Result<Self, RecordError> {
-        let (head, body): (RecordHead, Bytes) =
+        let (header, body): (RecordHeader, Bytes) =
             unframe(&value).map_err(|cause| RecordError { reason: cause.reason })?;
-        if head.input > body.len() {
-            return Err(RecordError { reason: "it is shorter than its input".into() });
+        if header.input > body.len() {
+            return Err(RecordError { reason: "the body is shorter than the input".into() });
         }
         Ok(Self {
-            previous: head.previous,
-            origin: head.origin,
-            upstream: head.upstream,
-            born: head.born,
-            used: head.used,
-            input: body.slice(..head.input),
-            output: body.slice(head.input..),
+            previous: header.previous,
+            origin: header.origin,
+            upstream: header.upstream,
+            born: header.born,
+            used: header.used,
+            input: body.slice(..header.input),
+            output: body.slice(header.input..),
         })
     }
 
-    /// Bytes of input and output.
+    /// Size of input and output.
     pub fn bytes(&self) -> usize {
         self.input.len() + self.output.len()
     }
 }
 
-/// Cuts a value of `len` bytes into ranges of at most `most` bytes; an empty value is one range.
-pub fn split_value(len: usize, most: usize) -> Vec<Range<usize>> {
-    let starts = (0..len.max(1)).step_by(most);
-    starts.map(|start| start..(start + most).min(len)).collect()
+/// Splits a value of `len` bytes into ranges of at most `max_bytes`; an empty value is one range.
+pub fn split_value(len: usize, max_bytes: usize) -> Vec<Range<usize>> {
+    let starts = (0..len.max(1)).step_by(max_bytes);
+    starts.map(|start| start..(start + max_bytes).min(len)).collect()
 }
