--- a/src/core/turns/mod.rs
+++ b/src/core/turns/mod.rs
@@ -1,4 +1,4 @@
-//! Turns of programs: records of those whose history the system keeps, and the tokens of a program.
+//! Turns of programs for the gateway: their stored records, token ledgers, cache and coordinators.
 
 mod allowance;
 mod branches;
@@ -20,21 +20,21 @@
 pub use ledger::{ProgramLedger, ReserveReply};
 pub use record::{RecordError, TurnRecord, split_value};
 
-/// Name of a program, chosen by its caller.
+/// Chosen by the caller.
 pub type ProgramName = Box<str>;
-/// Name of a turn: the request id of the call that made it.
+/// The request id of the call that made the turn.
 pub type TurnId = RequestId;
 
-/// How long a program's ledger is kept after its last turn where the operator does not say.
+/// Retention of a program's ledger after its last turn, unless the operator sets one.
 pub const DEFAULT_RETENTION: Duration = Duration::from_secs(600);
 
-/// What the system keeps of a turn.
+/// What is stored of a turn.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TurnScope {
-    /// Its history, which later turns go on from, and its tokens.
+    /// Its history, which later turns continue from, and its tokens.
     #[default]
     History,
-    /// Its tokens alone: each turn brings its whole prompt.
+    /// Its tokens alone: each turn brings its complete prompt.
     Tokens,
 }
