--- a/src/core/turns/allowance.rs
+++ b/src/core/turns/allowance.rs
@@ -25,7 +25,6 @@
 pub struct TokenAllowance {
     /// Name of the reservation in the ledger, unique among all allowances of the program.
     name: TurnId,
-    /// Tokens of turns that have ended.
     used: Tokens,
     /// Maximum output of the turns that run.
     running: BTreeMap<TurnId, Tokens>,
@@ -40,7 +39,6 @@
         &self.name
     }
 
-    /// What the ledger must hold for this turn to run besides the others.
     pub fn demand(&self, turn: &TurnId, max_tokens: Tokens) -> AllowanceDemand {
         let known = self.running.get(turn).copied().unwrap_or_default();
         AllowanceDemand {
@@ -49,7 +47,6 @@
         }
     }
 
-    /// Tokens used, or held for turns that run.
     pub fn committed(&self) -> Tokens {
         self.used + self.running.values().sum::<Tokens>()
     }
--- a/src/core/turns/branches.rs
+++ b/src/core/turns/branches.rs
@@ -1,5 +1,4 @@
-//! Records which engine last ran each branch of a program, so that the next turn finds its prompt
-//! prefix in that engine's memory.
+//! Records which engine holds the prompt prefix of each branch of a program.
 
 use std::collections::VecDeque;
 
@@ -8,7 +7,7 @@
 use crate::core::ids::UpstreamId;
 use crate::core::upstreams::BirthMillis;
 
-/// Chosen by the caller; a branch is a sequence of turns, each of which continues the one before.
+/// Chosen by the caller. In a branch each turn continues the one before.
 pub type BranchName = Box<str>;
 
 /// Exceeds the number of sub-agents that one program runs at once.
--- a/src/core/turns/coordinator.rs
+++ b/src/core/turns/coordinator.rs
@@ -37,7 +37,7 @@
         };
     }
 
-    /// Turns per second, as an exponentially decaying average.
+    /// Turns per second.
     fn rate_at(&self, now: Instant) -> f64 {
         let age = self.updated_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         self.rate * (-age.as_secs_f64() / RATE_DECAY.as_secs_f64()).exp()
@@ -60,7 +60,6 @@
     favourite(program, coordinators(span, members))
 }
 
-/// The members of a zone that coordinate programs, one of each `span`.
 pub fn coordinators<'a>(span: usize, members: impl IntoIterator<Item = &'a str>) -> Vec<&'a str> {
     leaders("turns", span, members)
 }
--- a/src/core/turns/ledger.rs
+++ b/src/core/turns/ledger.rs
@@ -105,7 +105,6 @@
         self.reservations.contains_key(turn)
     }
 
-    /// Tokens spent or reserved.
     pub fn committed(&self) -> Tokens {
         self.spent + self.reservations.values().sum::<Tokens>()
     }
--- a/src/core/turns/mod.rs
+++ b/src/core/turns/mod.rs
@@ -28,7 +28,6 @@
 /// Retention of a program's ledger after its last turn, unless the operator sets one.
 pub const DEFAULT_RETENTION: Duration = Duration::from_secs(600);
 
-/// What is stored of a turn.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TurnScope {
--- a/src/core/turns/record.rs
+++ b/src/core/turns/record.rs
@@ -82,7 +82,6 @@
         })
     }
 
-    /// Size of input and output.
     pub fn bytes(&self) -> usize {
         self.input.len() + self.output.len()
     }
