--- a/src/core/budget/attempt.rs
+++ b/src/core/budget/attempt.rs
@@ -1,13 +1,12 @@
-//! Attempts in the order of their reservations, until their costs are known.
+//! Tracks attempts in the order of their reservations until their costs are known.
 
 use std::collections::BTreeMap;
 
 use crate::core::ids::{Tokens, WorkspaceId};
 
-/// Position of an attempt among all attempts of its incarnation.
+/// Counts the attempts of an incarnation.
 pub type AttemptNumber = u64;
 
-/// An attempt whose cost is known while that of an older one is not.
 #[derive(Debug)]
 enum AttemptState {
     Open { since_millis: u64 },
@@ -16,9 +15,9 @@
 
 /// All attempts from the oldest open one on.
 ///
-/// A row can then name one number that divides what its `spent` covers from what only the engines
-/// know. Without it, whoever closes a dead incarnation's account would count attempts twice that
-/// were settled before the last write.
+/// An account row names the oldest open attempt: `spent` covers those before it, and only the
+/// engines know the costs from it on. Without that number, attempts settled before the last write
+/// would be counted twice when the account of a dead incarnation is closed.
 #[derive(Debug, Default)]
 pub(super) struct AttemptWindow {
     attempts: BTreeMap<AttemptNumber, AttemptState>,
@@ -33,7 +32,7 @@
         number
     }
 
-    /// Settles one attempt; returns the costs that no older open attempt precedes any more.
+    /// Returns the costs that no longer follow an older open attempt.
     pub(super) fn settle(
         &mut self,
         number: AttemptNumber,
@@ -53,13 +52,12 @@
         closed
     }
 
-    /// Oldest open attempt, or the next one if none is open.
-    pub(super) fn open_from(&self) -> AttemptNumber {
+    /// The number of the next attempt if none is open.
+    pub(super) fn oldest_open(&self) -> AttemptNumber {
         self.attempts.first_key_value().map_or(self.next, |(number, _)| *number)
     }
 
-    /// When the oldest open attempt was reserved.
-    pub(super) fn open_since_millis(&self) -> Option<u64> {
+    pub(super) fn oldest_open_since_millis(&self) -> Option<u64> {
         match self.attempts.first_key_value()?.1 {
             AttemptState::Open { since_millis } => Some(*since_millis),
             AttemptState::Settled { .. } => None,
--- a/src/core/budget/ledger.rs
+++ b/src/core/budget/ledger.rs
@@ -203,8 +203,8 @@
     /// write is under way would otherwise lean on a ceiling that the table no longer shows.
     pub fn prepare_row(&mut self, changes: &[GrantChange], wall_millis: u64) -> AccountRow {
         let mut row = AccountRow {
-            open_from: self.attempts.open_from(),
-            open_since_millis: self.attempts.open_since_millis().unwrap_or(wall_millis),
+            open_from: self.attempts.oldest_open(),
+            open_since_millis: self.attempts.oldest_open_since_millis().unwrap_or(wall_millis),
             ..AccountRow::default()
         };
         for (workspace, account) in &mut self.accounts {
