--- a/src/core/budget/ledger.rs
+++ b/src/core/budget/ledger.rs
@@ -176,12 +176,12 @@
     /// How much to draw from a row that stands like this; slices shrink as the limit comes near,
     /// so that the last tokens are not scattered over `instances` instances.
     fn draw_amount(&self, draw: &DrawRequest, row: &BudgetRow, instances: usize) -> Tokens {
-        if row.left() < draw.least {
+        if row.grantable() < draw.least {
             return 0;
         }
-        let fair = row.left() / (2 * instances.max(1) as Tokens);
+        let fair = row.grantable() / (2 * instances.max(1) as Tokens);
         let extra = self.settings.slice.min(fair);
-        (draw.needed + extra).min(row.left())
+        (draw.needed + extra).min(row.grantable())
     }
 
     /// Whether calls wait for a commit that raises a ceiling or draws more, or grants go back.
--- a/src/core/budget/mod.rs
+++ b/src/core/budget/mod.rs
@@ -9,4 +9,4 @@
 pub use ledger::{
     BudgetLedger, DrawRequest, GrantChange, LedgerSettings, Reservation, ReserveOutcome,
 };
-pub use row::{AccountRow, BudgetRow, StrandedRow, WorkspaceAccount};
+pub use row::{AccountRow, BudgetRow, UnresolvedSpending, WorkspaceAccount};
--- a/src/node/audit.rs
+++ b/src/node/audit.rs
@@ -14,7 +14,7 @@
     KeyedRow, RosterEntry, RosterRole, RowKey, StoreError, TableTransaction, parse_row, scan_all,
 };
 use super::upstream::{AttemptClosure, CloseRequest, WorkspaceCost};
-use crate::core::budget::{BudgetRow, StrandedRow};
+use crate::core::budget::{BudgetRow, UnresolvedSpending};
 use crate::core::ids::{Incarnation, Tokens, UpstreamId, WorkspaceId};
 use crate::core::members::MemberState;
 use crate::core::ownership::IncarnationRow;
@@ -107,7 +107,7 @@
     ) -> Result<(), StoreError> {
         for found in scan_all(&*self.table, STRANDED_PREFIX).await? {
             let Some(incarnation) = parse_incarnation(&found, STRANDED_PREFIX) else { continue };
-            let row: StrandedRow = parse_row(&found.row)?;
+            let row: UnresolvedSpending = parse_row(&found.row)?;
             let costs = answers.entry(incarnation).or_default();
             self.ask_engines(incarnation, &row, costs).await;
             let total = self.total_costs(&row, costs);
@@ -124,7 +124,7 @@
     async fn ask_engines(
         &self,
         incarnation: Incarnation,
-        row: &StrandedRow,
+        row: &UnresolvedSpending,
         costs: &mut CostsByEngine,
     ) {
         let mut engines = self.roster.borrow().all(RosterRole::Engine);
@@ -153,7 +153,11 @@
     /// It is uncertain if an engine has not answered, if one remembers less than the time in
     /// question because it restarted, or if one may have left the roster in that time: each may
     /// have billed tokens that no answer shows, and to give those back would overspend.
-    fn total_costs(&self, row: &StrandedRow, costs: &CostsByEngine) -> Option<TokensByWorkspace> {
+    fn total_costs(
+        &self,
+        row: &UnresolvedSpending,
+        costs: &CostsByEngine,
+    ) -> Option<TokensByWorkspace> {
         let since = Duration::from_millis(row.open_since_millis);
         let window = self.wall().saturating_sub(since) + self.settings.limits.clock_error();
         let roster = self.roster.borrow();
@@ -178,7 +182,7 @@
         &self,
         incarnation: Incarnation,
         found: &KeyedRow,
-        row: &StrandedRow,
+        row: &UnresolvedSpending,
         total: Option<TokensByWorkspace>,
     ) -> Result<(), StoreError> {
         let mut transaction = TableTransaction::default()
--- a/src/node/ownership/takeover.rs
+++ b/src/node/ownership/takeover.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::Instant;
 
-use crate::core::budget::{AccountRow, BudgetRow, StrandedRow};
+use crate::core::budget::{AccountRow, BudgetRow, UnresolvedSpending};
 use crate::core::ids::{Incarnation, ShardId};
 use crate::core::ownership::IncarnationRow;
 use crate::node::instance::Node;
@@ -134,9 +134,9 @@
         }
     }
 
-    fn stranded_row(&self, account: &AccountRow) -> StrandedRow {
+    fn stranded_row(&self, account: &AccountRow) -> UnresolvedSpending {
         let uncertain = account.workspaces.iter().filter(|(_, held)| held.uncertain() > 0);
-        StrandedRow {
+        UnresolvedSpending {
             workspaces: uncertain.map(|(id, held)| (id.clone(), held.uncertain())).collect(),
             open_from: account.open_from,
             open_since_millis: account.open_since_millis,
--- a/tests/stored_bytes.rs
+++ b/tests/stored_bytes.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use merlinsaddle::config::NodeSettings;
-use merlinsaddle::core::budget::{AccountRow, BudgetRow, StrandedRow};
+use merlinsaddle::core::budget::{AccountRow, BudgetRow, UnresolvedSpending};
 use merlinsaddle::core::config::ConfigChange;
 use merlinsaddle::core::history::{JournalBatch, ProgramRecord, SegmentObject};
 use merlinsaddle::core::members::MemberInfo;
@@ -84,7 +84,7 @@
     r#"{"workspaces":{"w":{"drawn":9,"ceiling":8,"spent":7,"reported":6}},"open_from":5,"open_since_millis":4}"#
 )]
 #[case::stranded(
-    rewrite::<StrandedRow>,
+    rewrite::<UnresolvedSpending>,
     r#"{"workspaces":{"w":9},"open_from":5,"open_since_millis":4,"closed_millis":3}"#
 )]
 #[case::shard(
