--- a/src/core/budget/account.rs
+++ b/src/core/budget/account.rs
@@ -3,8 +3,8 @@
 use super::row::WorkspaceAccount;
 use crate::core::ids::Tokens;
 
-/// An account that is in use keeps so many times what it used since the last review.
-const KEEP_FACTOR: Tokens = 4;
+/// An account in use retains this multiple of what it used in the last review period.
+const RETAINED_USE_FACTOR: Tokens = 4;
 
 #[derive(Debug, Default)]
 pub(super) struct LedgerAccount {
@@ -13,19 +13,20 @@
     /// The part of `spent` whose attempts have no older open one.
     pub(super) closed: Tokens,
     pub(super) reserved: Tokens,
-    /// Total that waiting calls need above `spent + reserved`.
-    pub(super) wanted: Tokens,
-    /// Smallest need among the waiting calls.
-    pub(super) least: Tokens,
-    /// The last draw found less in the row than was needed.
-    pub(super) short: bool,
-    /// What the row had unspent in all when it was last seen.
+    /// Sum of the waiting calls' tokens, on top of `committed`.
+    pub(super) requested: Tokens,
+    /// Tokens of the smallest waiting call.
+    pub(super) min_requested: Tokens,
+    /// The row did not cover the last draw.
+    pub(super) is_underfunded: bool,
+    /// [`BudgetRow::unspent`](super::row::BudgetRow::unspent) when the row was last read.
     pub(super) row_unspent: Tokens,
-    /// Tokens to keep when the next commit returns the rest; absent if nothing is to be returned.
-    pub(super) keep: Option<Tokens>,
-    /// `spent` at the last review, and the highest `committed` since.
-    reviewed_spent: Tokens,
-    peak: Tokens,
+    /// Tokens to retain when the next commit returns the rest; absent if it returns nothing.
+    pub(super) retained: Option<Tokens>,
+    /// `spent` at the start of the review period.
+    period_spent: Tokens,
+    /// The highest `committed` in the review period.
+    period_peak: Tokens,
 }
 
 impl LedgerAccount {
@@ -35,35 +36,35 @@
 
     pub(super) fn reserve(&mut self, tokens: Tokens) {
         self.reserved += tokens;
-        self.peak = self.peak.max(self.committed());
+        self.period_peak = self.period_peak.max(self.committed());
     }
 
-    pub(super) fn want(&mut self, tokens: Tokens) {
-        self.least = if self.wanted == 0 { tokens } else { self.least.min(tokens) };
-        self.wanted += tokens;
+    pub(super) fn request(&mut self, tokens: Tokens) {
+        self.min_requested =
+            if self.requested == 0 { tokens } else { self.min_requested.min(tokens) };
+        self.requested += tokens;
     }
 
-    /// Decides what to keep, from the use since the last review.
-    pub(super) fn review(&mut self) {
-        let used = self.peak.saturating_sub(self.reviewed_spent);
-        let keep = self.reviewed_spent + used * KEEP_FACTOR;
-        self.reviewed_spent = self.spent;
-        self.peak = self.committed();
-        let surplus = self.surplus(keep);
+    pub(super) fn schedule_return(&mut self) {
+        let used = self.period_peak.saturating_sub(self.period_spent);
+        let retained = self.period_spent + used * RETAINED_USE_FACTOR;
+        self.period_spent = self.spent;
+        self.period_peak = self.committed();
+        let surplus = self.surplus(retained);
         let unreported = used == 0 && self.closed > self.durable.reported;
-        self.keep = (surplus > 0 || unreported).then_some(keep);
+        self.retained = (surplus > 0 || unreported).then_some(retained);
     }
 
-    /// Whether nothing of the account is left to be used, returned or reported. Reservations lie
-    /// below the ceiling, so none is open then.
+    /// Nothing is left to use, return or report. Reservations lie below the ceiling, so none is
+    /// open then.
     pub(super) fn is_finished(&self) -> bool {
         let spent = self.spent;
         self.durable == WorkspaceAccount { drawn: spent, ceiling: spent, spent, reported: spent }
     }
 
-    /// What can be given back if `keep` tokens are kept besides those in use.
-    pub(super) fn surplus(&self, keep: Tokens) -> Tokens {
-        let used = self.committed() + self.wanted;
-        self.durable.drawn.saturating_sub(used.max(keep))
+    /// Tokens to return if at least `retained` of those drawn stay.
+    pub(super) fn surplus(&self, retained: Tokens) -> Tokens {
+        let used = self.committed() + self.requested;
+        self.durable.drawn.saturating_sub(used.max(retained))
     }
 }
--- a/src/core/budget/ledger.rs
+++ b/src/core/budget/ledger.rs
@@ -1,4 +1,4 @@
-//! Reservations against grants, in memory.
+//! Reserves tokens for attempts out of the grants that an incarnation has drawn.
 
 use std::collections::BTreeMap;
 
@@ -7,56 +7,51 @@
 use super::row::{AccountRow, BudgetRow, WorkspaceAccount};
 use crate::core::ids::{Incarnation, Tokens, WorkspaceId};
 
-/// Sizes of what is drawn at a time.
 #[derive(Debug, Clone, Copy)]
 pub struct LedgerSettings {
-    /// Most tokens drawn beyond what waits.
+    /// Maximum drawn beyond what waiting calls need.
     pub slice: Tokens,
-    /// Tokens that may be spent between two commits beyond what is reserved.
+    /// Maximum spent between two commits beyond what is reserved.
     pub headroom: Tokens,
 }
 
-/// Tokens held for one attempt until it settles.
+/// Tokens held for one attempt.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use = "a reservation must be settled, or its tokens stay held"]
 pub struct Reservation {
     pub workspace: WorkspaceId,
     pub tokens: Tokens,
-    /// The attempt's number, by which an engine is asked for its cost after a crash.
+    /// Engines are asked for the cost by this number after a crash.
     pub attempt: AttemptNumber,
-    /// The incarnation that holds the tokens.
     pub epoch: Incarnation,
 }
 
-/// Answer to a request for tokens.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReserveOutcome {
     Held(Reservation),
-    /// More has to be drawn first: ask again after the next commit.
+    /// More must be drawn first: retry after the next commit.
     Draw,
-    /// The row has too little left, but more is granted elsewhere and may come back.
+    /// The row cannot cover it now, but other instances may return unspent grants.
     Scarce,
-    /// The tokens are spent: no wait brings them back.
+    /// Permanent: the tokens are spent.
     Exhausted,
 }
 
-/// A wish to draw from a workspace's row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DrawRequest {
     pub workspace: WorkspaceId,
-    /// What waiting calls need in all.
+    /// Covers all waiting calls.
     pub needed: Tokens,
-    /// The least that lets one of them run.
-    pub least: Tokens,
+    /// Covers the smallest of them.
+    pub min_needed: Tokens,
 }
 
-/// What one commit changes in a workspace's row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GrantChange {
     pub workspace: WorkspaceId,
     pub granted: Tokens,
     pub returned: Tokens,
-    /// Newly known to be spent.
+    /// Spending that the row does not include yet.
     pub reported: Tokens,
     /// The row after the change.
     pub row: BudgetRow,
@@ -69,7 +64,7 @@
     attempts: AttemptWindow,
     settings: LedgerSettings,
     epoch: Incarnation,
-    /// Tokens spent by accounts that are no longer kept.
+    /// Tokens spent by accounts that have been removed.
     finished: Tokens,
 }
 
@@ -79,10 +74,9 @@
         Self { accounts, attempts, settings, epoch, finished: 0 }
     }
 
-    /// Holds the worst case of an attempt, if the durable ceiling covers it.
+    /// Reserves the maximum cost of an attempt, if the durable ceiling covers it.
     ///
-    /// Spending up to a ceiling that is already in the table is what keeps a crash from hiding
-    /// tokens: whatever this process does before its next write stays below it.
+    /// Spending stays below a ceiling that is already in the table, so a crash hides no tokens.
     pub fn reserve(&mut self, workspace: &str, tokens: Tokens, wall_millis: u64) -> ReserveOutcome {
         let account = self.accounts.entry(workspace.into()).or_default();
         let total = account.committed() + tokens;
@@ -92,8 +86,8 @@
             let (workspace, epoch) = (workspace.into(), self.epoch);
             return ReserveOutcome::Held(Reservation { workspace, tokens, attempt, epoch });
         }
-        if account.short && total > account.durable.drawn {
-            account.short = false;
+        if account.is_underfunded && total > account.durable.drawn {
+            account.is_underfunded = false;
             let unreported = account.spent - account.durable.reported;
             return if account.row_unspent < unreported + tokens {
                 ReserveOutcome::Exhausted
@@ -101,14 +95,14 @@
                 ReserveOutcome::Scarce
             };
         }
-        account.want(tokens);
+        account.request(tokens);
         ReserveOutcome::Draw
     }
 
-    /// Ends a reservation with what the attempt really cost.
+    /// Replaces a reservation by the attempt's actual cost.
     ///
-    /// One made before this instance was fenced is passed over: its tokens are counted by whoever
-    /// closed the account of that incarnation.
+    /// A reservation of an earlier, fenced incarnation is ignored: the instance that closed that
+    /// account counts its tokens.
     pub fn settle(&mut self, reservation: Reservation, used: Tokens) {
         if reservation.epoch != self.epoch {
             return;
@@ -122,61 +116,63 @@
         }
     }
 
-    /// Marks what has not been used since the last review for its return to the rows.
+    /// Schedules grants unused since the last call for return to the rows.
     ///
-    /// A grant that stays with an idle instance is refused to calls elsewhere although it is not
-    /// spent.
-    pub fn review(&mut self) {
+    /// A grant that an idle instance holds is unavailable to calls elsewhere.
+    pub fn schedule_returns(&mut self) {
         for account in self.accounts.values_mut() {
-            account.review();
+            account.schedule_return();
         }
     }
 
-    /// What the next commit should draw from budget rows.
     pub fn draws(&self) -> Vec<DrawRequest> {
         let mut draws = Vec::new();
         for (workspace, account) in &self.accounts {
-            let total = account.committed() + account.wanted;
-            if account.wanted > 0 && total > account.durable.drawn {
+            let total = account.committed() + account.requested;
+            if account.requested > 0 && total > account.durable.drawn {
                 let needed = total - account.durable.drawn;
-                let least = account.committed() + account.least;
-                let least = least.saturating_sub(account.durable.drawn);
-                draws.push(DrawRequest { workspace: workspace.clone(), needed, least });
+                let min_needed = account.committed() + account.min_requested;
+                let min_needed = min_needed.saturating_sub(account.durable.drawn);
+                draws.push(DrawRequest { workspace: workspace.clone(), needed, min_needed });
             }
         }
         draws
     }
 
-    /// The workspaces whose rows the next commit may change.
-    pub fn touched(&self) -> Vec<WorkspaceId> {
-        let touched = self.accounts.iter().filter(|(_, account)| {
-            let drawing = account.committed() + account.wanted > account.durable.drawn;
-            account.keep.is_some() || (account.wanted > 0 && drawing)
+    /// Workspaces whose budget rows the next commit may change.
+    pub fn pending_workspaces(&self) -> Vec<WorkspaceId> {
+        let pending = self.accounts.iter().filter(|(_, account)| {
+            let is_drawing = account.committed() + account.requested > account.durable.drawn;
+            account.retained.is_some() || (account.requested > 0 && is_drawing)
         });
-        touched.map(|(workspace, _)| workspace.clone()).collect()
+        pending.map(|(workspace, _)| workspace.clone()).collect()
     }
 
-    /// What to change in a row that stands like this; `None` leaves it alone.
-    pub fn change(&self, workspace: &str, row: BudgetRow, instances: usize) -> Option<GrantChange> {
+    /// The change to write, given the current `row`; none if there is nothing to write.
+    pub fn grant_change(
+        &self,
+        workspace: &str,
+        row: BudgetRow,
+        instances: usize,
+    ) -> Option<GrantChange> {
         let account = self.accounts.get(workspace)?;
         let draw = self.draws().into_iter().find(|draw| &*draw.workspace == workspace);
         let granted = draw.map_or(0, |draw| self.draw_amount(&draw, &row, instances));
-        let returned = account.keep.map_or(0, |keep| account.surplus(keep));
+        let returned = account.retained.map_or(0, |retained| account.surplus(retained));
         let reported = account.closed - account.durable.reported;
         if granted == 0 && returned == 0 && reported == 0 {
             return None;
         }
-        // A row below what is to be returned shows that another instance has closed this account;
-        // nothing is changed then, and the commit fails by the fence.
+        // A row below what is to be returned shows that another instance has closed this account,
+        // so the commit fails by the fence.
         let drawn = (row.drawn + granted).checked_sub(returned)?;
         let row = BudgetRow { drawn, spent: row.spent + reported, ..row };
         Some(GrantChange { workspace: workspace.into(), granted, returned, reported, row })
     }
 
-    /// How much to draw from a row that stands like this; slices shrink as the limit comes near,
-    /// so that the last tokens are not scattered over `instances` instances.
+    /// Draws shrink near the limit, so that the last tokens are not spread over all `instances`.
     fn draw_amount(&self, draw: &DrawRequest, row: &BudgetRow, instances: usize) -> Tokens {
-        if row.grantable() < draw.least {
+        if row.grantable() < draw.min_needed {
             return 0;
         }
         let fair = row.grantable() / (2 * instances.max(1) as Tokens);
@@ -184,23 +180,23 @@
         (draw.needed + extra).min(row.grantable())
     }
 
-    /// Whether calls wait for a commit that raises a ceiling or draws more, or grants go back.
+    /// Calls wait for a commit, or grants are to be returned.
     pub fn needs_commit(&self) -> bool {
-        self.accounts.values().any(|account| account.wanted > 0 || account.keep.is_some())
+        self.accounts.values().any(|account| account.requested > 0 || account.retained.is_some())
     }
 
-    /// Whether a commit would let a waiting call run without any change of grants.
-    pub fn can_rise(&self) -> bool {
+    /// A commit would let a waiting call run without any change of grants.
+    pub fn can_raise_ceiling(&self) -> bool {
         self.accounts.values().any(|account| {
-            let lowest = account.committed() + account.least;
-            account.wanted > 0 && lowest <= account.durable.drawn
+            let min_total = account.committed() + account.min_requested;
+            account.requested > 0 && min_total <= account.durable.drawn
         })
     }
 
-    /// The row to write together with these changes of grants.
+    /// The account row to write together with these changes.
     ///
-    /// Ceilings that fall do so here and not at the commit's end: a reservation made while the
-    /// write is under way would otherwise lean on a ceiling that the table no longer shows.
+    /// Lowers ceilings before the write: a reservation made during it would otherwise rely on a
+    /// ceiling that the table no longer shows.
     pub fn prepare_row(&mut self, changes: &[GrantChange], wall_millis: u64) -> AccountRow {
         let mut row = AccountRow {
             open_from: self.attempts.oldest_open(),
@@ -213,10 +209,10 @@
             let returned = change.map_or(0, |change| change.returned);
             let reported = change.map_or(0, |change| change.reported);
             let drawn = account.durable.drawn + granted - returned;
-            let wish = account.committed() + account.wanted + self.settings.headroom;
+            let desired = account.committed() + account.requested + self.settings.headroom;
             let next = WorkspaceAccount {
                 drawn,
-                ceiling: wish.min(drawn),
+                ceiling: desired.min(drawn),
                 spent: account.closed,
                 reported: account.durable.reported + reported,
             };
@@ -226,9 +222,8 @@
         row
     }
 
-    /// The row has been written. `draws` names the workspaces whose rows were asked, `rows` how
-    /// those stand now.
-    pub fn committed(
+    /// Applies a commit that wrote `row`; `rows` are the budget rows after it.
+    pub fn apply_commit(
         &mut self,
         row: &AccountRow,
         draws: &[DrawRequest],
@@ -238,17 +233,17 @@
             let account = self.accounts.entry(workspace.clone()).or_default();
             let granted = written.drawn.saturating_sub(account.durable.drawn);
             let asked = draws.iter().find(|draw| draw.workspace == *workspace);
-            account.short = asked.is_some_and(|draw| granted < draw.needed);
+            account.is_underfunded = asked.is_some_and(|draw| granted < draw.needed);
             account.row_unspent = rows.get(workspace).map_or(0, BudgetRow::unspent);
             account.durable = *written;
-            account.wanted = 0;
-            account.keep = None;
+            account.requested = 0;
+            account.retained = None;
         }
-        // The row of an instance that lives long would name every workspace it ever served. Closing
-        // a finished account changes nothing, so the next row may leave it out.
+        // Otherwise the row would grow with every workspace ever served. Closing a finished account
+        // changes nothing, so the next row may omit it.
         let spent = &mut self.finished;
         self.accounts.retain(|_, account| {
-            let finished = account.is_finished() && !account.short;
+            let finished = account.is_finished() && !account.is_underfunded;
             if finished {
                 *spent += account.spent;
             }
@@ -256,20 +251,24 @@
         });
     }
 
-    /// Nothing could be drawn and nothing was written.
-    pub fn refused(&mut self, draws: &[DrawRequest], rows: &BTreeMap<WorkspaceId, BudgetRow>) {
+    /// Nothing could be drawn, so nothing was written.
+    pub fn apply_refusal(
+        &mut self,
+        draws: &[DrawRequest],
+        rows: &BTreeMap<WorkspaceId, BudgetRow>,
+    ) {
         for account in self.accounts.values_mut() {
-            account.wanted = 0;
-            account.keep = None;
+            account.requested = 0;
+            account.retained = None;
         }
         for draw in draws {
             let account = self.accounts.entry(draw.workspace.clone()).or_default();
-            account.short = true;
+            account.is_underfunded = true;
             account.row_unspent = rows.get(&draw.workspace).map_or(0, BudgetRow::unspent);
         }
     }
 
-    /// Tokens drawn and spent in all, for the metrics.
+    /// For metrics.
     pub fn totals(&self) -> WorkspaceAccount {
         let mut totals = WorkspaceAccount {
             drawn: self.finished,
--- a/src/node/grants.rs
+++ b/src/node/grants.rs
@@ -36,7 +36,7 @@
         actix_rt::spawn(async move {
             while !self.is_stopped() {
                 sleep(self.settings.limits.budget_idle()).await;
-                self.ledger.borrow_mut().review();
+                self.ledger.borrow_mut().schedule_returns();
                 if self.ledger.borrow().needs_commit() {
                     self.journal.wake();
                 }
@@ -49,14 +49,14 @@
         &self,
         mut transaction: TableTransaction,
     ) -> (TableTransaction, GrantPlan) {
-        let touched = self.ledger.borrow().touched();
-        let found = self.read_budgets(&touched).await;
+        let pending = self.ledger.borrow().pending_workspaces();
+        let found = self.read_budgets(&pending).await;
         let members = self.members.borrow().serving().count();
         let mut ledger = self.ledger.borrow_mut();
         let draws = ledger.draws();
         let (mut changes, mut rows) = (Vec::new(), BTreeMap::new());
         for (workspace, (row, version)) in found.budgets {
-            let Some(change) = ledger.change(&workspace, row, members) else {
+            let Some(change) = ledger.grant_change(&workspace, row, members) else {
                 rows.insert(workspace, row);
                 continue;
             };
@@ -67,7 +67,7 @@
         }
         // A fenced incarnation commits in any case, to learn of its fence. Its ledger and the row
         // both count what it spent, so a refusal for good would be wrong.
-        let needed = !changes.is_empty() || ledger.can_rise() || found.fenced;
+        let needed = !changes.is_empty() || ledger.can_raise_ceiling() || found.fenced;
         let account = ledger.prepare_row(&changes, self.wall().as_millis() as u64);
         let head = found.head;
         (transaction, GrantPlan { draws, rows, account, head, needed })
@@ -112,12 +112,12 @@
     /// The commit has taken effect.
     pub(super) fn grants_committed(&self, plan: &GrantPlan) {
         let mut ledger = self.ledger.borrow_mut();
-        ledger.committed(&plan.account, &plan.draws, &plan.rows);
+        ledger.apply_commit(&plan.account, &plan.draws, &plan.rows);
     }
 
     /// Nothing was written because nothing could be drawn.
     pub(super) fn grants_refused(&self, plan: &GrantPlan) {
-        self.ledger.borrow_mut().refused(&plan.draws, &plan.rows);
+        self.ledger.borrow_mut().apply_refusal(&plan.draws, &plan.rows);
     }
 }
 
--- a/tests/budget_model.rs
+++ b/tests/budget_model.rs
@@ -143,7 +143,10 @@
         }
         let ledger = &mut instance.ledger;
         let draws = ledger.draws();
-        let change = ledger.touched().first().and_then(|id| ledger.change(id, self.row, LEDGERS));
+        let change = ledger
+            .pending_workspaces()
+            .first()
+            .and_then(|id| ledger.grant_change(id, self.row, LEDGERS));
         let row = change.as_ref().map(|change| (change.row, self.version));
         let seen = row.map_or(self.row, |(row, _)| row);
         let account = ledger.prepare_row(change.as_slice(), 0);
@@ -173,7 +176,7 @@
         }
         instance.seen_limit = built.seen.limit;
         let rows = BTreeMap::from([(workspace(), built.seen)]);
-        instance.ledger.committed(&built.account, &built.draws, &rows);
+        instance.ledger.apply_commit(&built.account, &built.draws, &rows);
     }
 
     fn crash(&mut self, index: usize, percent: Tokens) {
@@ -228,7 +231,7 @@
             }
             Step::Build { ledger } => budget.build(ledger),
             Step::Commit { ledger, reply_lost } => budget.commit(ledger, reply_lost),
-            Step::Review { ledger } => budget.instances[ledger].ledger.review(),
+            Step::Review { ledger } => budget.instances[ledger].ledger.schedule_returns(),
             Step::Crash { ledger, percent } => budget.crash(ledger, percent),
             Step::Limit { tokens } => {
                 if tokens >= budget.row.drawn {
