--- a/src/core/budget/ledger.rs
+++ b/src/core/budget/ledger.rs
@@ -23,7 +23,7 @@
     pub tokens: Tokens,
     /// Engines are asked for the cost by this number after a crash.
     pub attempt: AttemptNumber,
-    pub epoch: Incarnation,
+    pub incarnation: Incarnation,
 }
 
 #[derive(Debug, PartialEq, Eq)]
@@ -63,15 +63,15 @@
     accounts: BTreeMap<WorkspaceId, LedgerAccount>,
     attempts: AttemptWindow,
     settings: LedgerSettings,
-    epoch: Incarnation,
+    incarnation: Incarnation,
     /// Tokens spent by accounts that have been removed.
     finished: Tokens,
 }
 
 impl BudgetLedger {
-    pub fn new(settings: LedgerSettings, epoch: Incarnation) -> Self {
+    pub fn new(settings: LedgerSettings, incarnation: Incarnation) -> Self {
         let (accounts, attempts) = (BTreeMap::new(), AttemptWindow::default());
-        Self { accounts, attempts, settings, epoch, finished: 0 }
+        Self { accounts, attempts, settings, incarnation, finished: 0 }
     }
 
     /// Reserves the maximum cost of an attempt, if the durable ceiling covers it.
@@ -83,8 +83,8 @@
         if total <= account.durable.ceiling {
             account.reserve(tokens);
             let attempt = self.attempts.open(wall_millis);
-            let (workspace, epoch) = (workspace.into(), self.epoch);
-            return ReserveOutcome::Held(Reservation { workspace, tokens, attempt, epoch });
+            let (workspace, incarnation) = (workspace.into(), self.incarnation);
+            return ReserveOutcome::Held(Reservation { workspace, tokens, attempt, incarnation });
         }
         if account.is_underfunded && total > account.durable.drawn {
             account.is_underfunded = false;
@@ -104,7 +104,7 @@
     /// A reservation of an earlier, fenced incarnation is ignored: the instance that closed that
     /// account counts its tokens.
     pub fn settle(&mut self, reservation: Reservation, used: Tokens) {
-        if reservation.epoch != self.epoch {
+        if reservation.incarnation != self.incarnation {
             return;
         }
         let account = self.accounts.entry(reservation.workspace.clone()).or_default();
--- a/src/node/calls/model.rs
+++ b/src/node/calls/model.rs
@@ -234,7 +234,7 @@
         self.opened = false;
         let request = GenerateRequest {
             request_id: self.attempt_id(reservation),
-            incarnation: reservation.epoch,
+            incarnation: reservation.incarnation,
             attempt: reservation.attempt,
             program: self.context.request.program,
             workspace: self.context.workspace.clone(),
@@ -276,7 +276,7 @@
     /// programs may be equal; cancelling one call would stop the other.
     fn attempt_id(&self, reservation: &Reservation) -> RequestId {
         let (program, number) = (self.context.request.program, self.context.request.number);
-        let Reservation { epoch, attempt, .. } = reservation;
+        let Reservation { incarnation: epoch, attempt, .. } = reservation;
         format!("{program:016x}-{number}-{epoch}-{attempt}").into()
     }
 
@@ -301,7 +301,7 @@
         let (address, request_id) = (permit.address().into(), self.attempt_id(&reservation));
         let node = self.node.clone();
         actix_rt::spawn(async move {
-            let epoch = reservation.epoch;
+            let epoch = reservation.incarnation;
             let tokens = node.settle_sent(reservation, address, request_id).await;
             node.record_spent(epoch, program, tokens, upstream).await;
         });
