--- a/src/core/history/program.rs
+++ b/src/core/history/program.rs
@@ -1,4 +1,4 @@
-//! One program: its durable state and the rule for which call may run.
+//! A program's durable state and the admission of its calls.
 
 use std::collections::BTreeSet;
 
@@ -13,20 +13,19 @@
 };
 use crate::core::outcome::{CallOutcome, RefusalReason};
 
-/// A finished call as the history keeps it.
+/// A finished call in the history.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TurnRecord {
     pub number: CallNumber,
     pub request_id: RequestId,
     pub input: Box<str>,
     pub target: TargetName,
-    /// Answered or unknown; a call that did not run leaves no turn.
+    /// Answered or unknown: a call that did not run leaves no turn.
     pub outcome: CallOutcome,
 }
 
 impl TurnRecord {
-    /// Whether this is the turn of that call.
-    fn is(&self, call: &CallKey) -> bool {
+    fn matches(&self, call: &CallKey) -> bool {
         self.request_id == call.request_id && self.input == call.input && self.target == call.target
     }
 }
@@ -41,7 +40,7 @@
     pub upstream: UpstreamId,
 }
 
-/// What makes two submissions the same call.
+/// Two submissions with equal keys are the same call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallKey {
     pub number: CallNumber,
@@ -50,7 +49,6 @@
     pub target: TargetName,
 }
 
-/// Why a program ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Display)]
 #[serde(rename_all = "snake_case")]
 pub enum EndReason {
@@ -64,32 +62,29 @@
     WorkspaceRetired,
 }
 
-/// The end of a program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgramEnd {
     pub reason: EndReason,
-    /// Milliseconds since the Unix epoch by the owner's clock; only for retention.
+    /// Milliseconds since the Unix epoch by the owner's clock; used for retention only.
     pub wall_millis: u64,
 }
 
-/// What to do with a call that arrives.
+/// What to do with a submitted call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Admission {
-    /// It is the next one: run it.
     Run,
-    /// It is running already: follow it.
-    Join,
-    /// It has its outcome already: repeat that.
+    /// The call is running: return its result to this caller too.
+    Attach,
+    /// The call has finished with this outcome.
     Recorded(CallOutcome),
-    /// An earlier call still runs, or the program's end is being written: ask again when that is
-    /// done.
+    /// Retry when the earlier call has finished or the program's end has been written.
     Wait,
-    /// Older turns must be read first.
-    Fill,
+    /// Retry when the older turns have been loaded.
+    LoadTurns,
     Refuse(RefusalReason),
 }
 
-/// One program as its journal records make it.
+/// A program's state, rebuilt from its journal records.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ProgramRecord {
     pub id: ProgramId,
@@ -100,28 +95,27 @@
     /// Objects with the oldest turns, in order.
     #[serde(default)]
     pub segments: Vec<SegmentRef>,
-    /// The turns that are in memory: all of them, or those after the segments.
+    /// All turns, or those after the segments while these are not loaded.
     #[serde(default)]
     pub turns: Vec<TurnRecord>,
     pub intent: Option<CallIntent>,
     pub ended: Option<ProgramEnd>,
-    /// Engines that may hold memory for it.
+    /// Engines that may hold memory for the program.
     pub holders: BTreeSet<UpstreamId>,
-    /// Service attained so far.
+    /// Tokens billed so far.
     pub tokens: Tokens,
-    /// Turns of the segments that were not read yet.
+    /// Number of turns in segments that have not been loaded.
     #[serde(skip)]
-    pub absent: u32,
-    /// The call this owner is running now.
+    pub unloaded_turns: u32,
     #[serde(skip)]
     pub running: Option<CallKey>,
-    /// Its end is being written. A call admitted now would leave a turn after the end.
+    /// The end is being written: a call admitted now would leave a turn after it.
     #[serde(skip)]
     pub ending: bool,
-    /// When this owner last had anything to do with it.
+    /// Last activity at this owner.
     #[serde(skip)]
     pub last_active: Option<Instant>,
-    /// When it started, if that was at this owner.
+    /// Absent if the program started at another owner.
     #[serde(skip)]
     pub started_here: Option<Instant>,
 }
@@ -143,7 +137,7 @@
             parent,
             segments: Vec::new(),
             turns: Vec::new(),
-            absent: 0,
+            unloaded_turns: 0,
             intent: None,
             ended: None,
             holders: BTreeSet::new(),
@@ -155,17 +149,16 @@
         }
     }
 
-    /// The number the next new call must carry.
     pub fn next_number(&self) -> CallNumber {
-        self.absent + self.turns.len() as CallNumber + 1
+        self.unloaded_turns + self.turns.len() as CallNumber + 1
     }
 
-    /// Turns that its segments hold.
-    pub fn stored(&self) -> u32 {
+    /// Number of turns in segments.
+    pub fn stored_turns(&self) -> u32 {
         self.segments.iter().map(|segment| segment.turns).sum()
     }
 
-    /// The form that a checkpoint keeps; its segments hold the turns.
+    /// The form in a checkpoint, with all turns in `segments`.
     pub fn without_turns(&self, segments: Vec<SegmentRef>) -> Self {
         let mut stored = Self::new(
             self.id,
@@ -182,36 +175,34 @@
         stored
     }
 
-    /// Turns that no segment holds yet.
-    pub fn unstored(&self) -> &[TurnRecord] {
-        &self.turns[(self.stored() - self.absent) as usize..]
+    /// Turns that are in no segment.
+    pub fn unstored_turns(&self) -> &[TurnRecord] {
+        &self.turns[(self.stored_turns() - self.unloaded_turns) as usize..]
     }
 
-    /// Segments whose turns are not in memory.
-    pub fn unread(&self) -> Vec<SegmentRef> {
+    pub fn unloaded_segments(&self) -> Vec<SegmentRef> {
         let mut turns = 0;
-        let unread = self.segments.iter().take_while(|segment| {
+        let unloaded = self.segments.iter().take_while(|segment| {
             turns += segment.turns;
-            turns <= self.absent
+            turns <= self.unloaded_turns
         });
-        unread.cloned().collect()
+        unloaded.cloned().collect()
     }
 
-    /// Takes up the turns of the segments, if they are still needed.
-    pub fn fill(&mut self, older: Vec<TurnRecord>) {
-        if self.absent as usize == older.len() {
+    /// Prepends the turns of the unloaded segments, unless they were loaded meanwhile.
+    pub fn load_turns(&mut self, older: Vec<TurnRecord>) {
+        if self.unloaded_turns as usize == older.len() {
             self.turns.splice(..0, older);
-            self.absent = 0;
+            self.unloaded_turns = 0;
         }
     }
 
-    /// Decides about a call; changes nothing.
     pub fn admit(&self, call: &CallKey) -> Admission {
-        if self.absent > 0 {
-            return Admission::Fill;
+        if self.unloaded_turns > 0 {
+            return Admission::LoadTurns;
         }
         if let Some(turn) = self.turn(call.number) {
-            return if turn.is(call) {
+            return if turn.matches(call) {
                 Admission::Recorded(turn.outcome.clone())
             } else {
                 Admission::Refuse(RefusalReason::RequestReused)
@@ -225,7 +216,7 @@
             return Admission::Refuse(RefusalReason::RequestReused);
         }
         match &self.running {
-            Some(running) if running == call => Admission::Join,
+            Some(running) if running == call => Admission::Attach,
             Some(running) if running.number == call.number => {
                 Admission::Refuse(RefusalReason::RequestReused)
             }
@@ -236,13 +227,13 @@
         }
     }
 
-    /// The finished call with this number.
+    /// None also for a turn that is not loaded.
     pub fn turn(&self, number: CallNumber) -> Option<&TurnRecord> {
-        let index = (number as usize).checked_sub(self.absent as usize + 1)?;
+        let index = (number as usize).checked_sub(self.unloaded_turns as usize + 1)?;
         self.turns.get(index)
     }
 
-    /// Takes up one durable fact. Records of one program arrive in journal order.
+    /// Records of a program must be applied in journal order.
     pub fn apply(&mut self, record: &JournalRecord) {
         match record {
             JournalRecord::Started { .. } => {}
--- a/src/node/calls/submit.rs
+++ b/src/node/calls/submit.rs
@@ -135,8 +135,8 @@
             changed.as_mut().enable();
             match self.admit(&request)? {
                 Admission::Run => return self.run(request, deadline),
-                Admission::Fill => self.fill_turns(request.program).await?,
-                Admission::Join => return self.find_call(request.program, request.number),
+                Admission::LoadTurns => self.fill_turns(request.program).await?,
+                Admission::Attach => return self.find_call(request.program, request.number),
                 Admission::Recorded(outcome) => return Ok(LiveCall::done(outcome)),
                 Admission::Refuse(reason) if is_stateful(&reason) && !confirmed => {
                     self.confirm_owner(request.program).await?;
--- a/src/node/ownership/load.rs
+++ b/src/node/ownership/load.rs
@@ -55,8 +55,8 @@
             let checkpoint = self.load_checkpoint(object, cache).await?;
             let mine = checkpoint.programs.iter().filter(|program| shard_of(program.id) == shard);
             for program in mine {
-                let absent = program.stored();
-                book.insert(ProgramRecord { absent, ..program.clone() });
+                let unloaded_turns = program.stored_turns();
+                book.insert(ProgramRecord { unloaded_turns, ..program.clone() });
             }
         }
         for span in &row.spans {
--- a/src/node/ownership/segments.rs
+++ b/src/node/ownership/segments.rs
@@ -62,10 +62,10 @@
 
     /// Adds a program's new turns, or all of them if it has many segments.
     pub(super) fn add(&mut self, program: &ProgramRecord) {
-        let compact = program.segments.len() >= MAX_SEGMENTS && program.absent == 0;
+        let compact = program.segments.len() >= MAX_SEGMENTS && program.unloaded_turns == 0;
         let (kept, turns) = match compact {
             true => (Vec::new(), &program.turns[..]),
-            false => (program.segments.clone(), program.unstored()),
+            false => (program.segments.clone(), program.unstored_turns()),
         };
         self.shard.push(SegmentList { program: program.id, segments: kept });
         if !turns.is_empty() {
@@ -194,7 +194,7 @@
     pub(crate) async fn fill_turns(&self, program: ProgramId) -> Result<(), CallRefusal> {
         let segments = {
             let book = self.book.borrow();
-            book.get(program).map(ProgramRecord::unread).unwrap_or_default()
+            book.get(program).map(ProgramRecord::unloaded_segments).unwrap_or_default()
         };
         if segments.is_empty() {
             return Ok(());
@@ -202,7 +202,7 @@
         match self.read_segments(program, &segments).await {
             Ok(older) => {
                 if let Some(record) = self.book.borrow_mut().get_mut(program) {
-                    record.fill(older);
+                    record.load_turns(older);
                 }
                 Ok(())
             }
