--- a/src/core/history/book.rs
+++ b/src/core/history/book.rs
@@ -1,4 +1,4 @@
-//! All programs an instance owns.
+//! Holds all programs that an instance owns.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use super::record::JournalRecord;
 use crate::core::ids::{ProgramId, ShardId, mint_program, shard_of};
 
-/// The programs of the shards this instance owns, in id order and so grouped by shard.
+/// Programs in id order, and so grouped by shard.
 #[derive(Debug, Default)]
 pub struct ProgramBook {
     programs: BTreeMap<ProgramId, ProgramRecord>,
@@ -33,7 +33,6 @@
         self.programs.is_empty()
     }
 
-    /// Takes up one durable fact.
     pub fn apply(&mut self, record: &JournalRecord) {
         let id = record.program();
         if let JournalRecord::Started { program, workspace, definition, start_key, parent } = record
@@ -53,22 +52,19 @@
         }
     }
 
-    /// Drops programs that ended before `wall_millis` and are released everywhere.
-    ///
-    /// Until then a caller that lost its connection can still fetch its last answer.
-    pub fn purge(&mut self, wall_millis: u64) {
+    /// Removes programs that ended before `wall_millis` and are released everywhere. Until then a
+    /// caller that lost its connection can still fetch the last answer.
+    pub fn remove_expired(&mut self, wall_millis: u64) {
         self.programs.retain(|_, program| {
             let expired = program.ended.is_some_and(|end| end.wall_millis < wall_millis);
             !(expired && program.holders.is_empty())
         });
     }
 
-    /// Adds a program that was read from checkpoint and journal.
     pub fn insert(&mut self, program: ProgramRecord) {
         self.programs.insert(program.id, program);
     }
 
-    /// The programs of one shard.
     pub fn shard(&self, shard: ShardId) -> impl Iterator<Item = &ProgramRecord> {
         let first = mint_program(shard, 0, 0);
         self.programs
@@ -77,17 +73,17 @@
             .take_while(move |program| shard_of(program.id) == shard)
     }
 
-    /// Forgets the programs of a shard that another instance owns now.
-    pub fn drop_shard(&mut self, shard: ShardId) {
+    /// Called when another instance has taken over the shard.
+    pub fn remove_shard(&mut self, shard: ShardId) {
         self.programs.retain(|id, _| shard_of(*id) != shard);
     }
 
-    /// Forgets everything, as an instance does that has been fenced.
+    /// Called when this instance has been fenced.
     pub fn clear(&mut self) {
         self.programs.clear();
     }
 
-    /// The live program that was started with this key, if any.
+    /// The program that was started with this key.
     pub fn by_start_key(&self, workspace: &str, key: &str) -> Option<&ProgramRecord> {
         self.programs.values().find(|program| {
             &*program.workspace == workspace && program.start_key.as_deref() == Some(key)
--- a/src/core/history/mod.rs
+++ b/src/core/history/mod.rs
@@ -1,4 +1,4 @@
-//! Programs and their histories: what is journaled, how it is replayed, which call may run next.
+//! Programs and their histories: journal records, their replay, and the admission of calls.
 
 mod book;
 mod program;
--- a/src/core/history/record.rs
+++ b/src/core/history/record.rs
@@ -1,4 +1,4 @@
-//! What the journal keeps.
+//! Journal records and batches.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,7 +6,7 @@
 use crate::core::ids::{CallNumber, DefinitionName, ProgramId, Tokens, UpstreamId, WorkspaceId};
 use crate::core::timeline::CausalStamp;
 
-/// One durable fact about one program; replaying them in order rebuilds it.
+/// One change of one program; replaying them in order rebuilds the program.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "record", rename_all = "snake_case")]
 pub enum JournalRecord {
@@ -17,22 +17,22 @@
         start_key: Option<Box<str>>,
         parent: Option<ProgramId>,
     },
-    /// A non-idempotent call is about to be sent. Committed before its first byte goes out.
+    /// A non-idempotent call is about to be sent; committed before its first byte is.
     Intended {
         program: ProgramId,
         intent: CallIntent,
     },
-    /// An intended call could not be sent: no byte left, so the intent does not stand.
+    /// No byte of an intended call was sent, so the intent is void.
     Withdrawn {
         program: ProgramId,
         number: CallNumber,
     },
-    /// A call has its lasting result.
+    /// A call has its final outcome.
     Finished {
         program: ProgramId,
         turn: TurnRecord,
     },
-    /// A call that left no turn behind has cost tokens all the same.
+    /// Cost of an attempt without a turn.
     Spent {
         program: ProgramId,
         tokens: Tokens,
@@ -42,7 +42,7 @@
         program: ProgramId,
         end: ProgramEnd,
     },
-    /// An engine confirmed that it holds nothing for the ended program any more.
+    /// An engine confirmed that it holds nothing for the ended program.
     Released {
         program: ProgramId,
         upstream: UpstreamId,
@@ -50,7 +50,6 @@
 }
 
 impl JournalRecord {
-    /// The program the record belongs to.
     pub fn program(&self) -> ProgramId {
         match self {
             Self::Started { program, .. }
@@ -64,7 +63,7 @@
     }
 }
 
-/// What one commit adds to an incarnation's journal.
+/// The records that one commit appends to an incarnation's journal.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JournalBatch {
     pub stamp: CausalStamp,
--- a/src/core/history/segment.rs
+++ b/src/core/history/segment.rs
@@ -1,4 +1,4 @@
-//! Finished turns in immutable objects, so that a checkpoint writes only what is new.
+//! Finished turns in immutable objects, so that a checkpoint writes only new turns.
 
 use std::collections::BTreeMap;
 
@@ -7,15 +7,15 @@
 use super::program::TurnRecord;
 use crate::core::ids::{ObjectName, ProgramId};
 
-/// Consecutive turns of one program in an object that holds those of other programs too.
+/// Consecutive turns of one program in an object shared with other programs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SegmentRef {
     pub object: ObjectName,
     pub turns: u32,
 }
 
-/// Turns of programs of one shard. Only the shard's owner refers to it, so the owner alone can
-/// tell when nobody needs it any more.
+/// Turns of programs of one shard. Only the shard's owner refers to the object, so the owner
+/// decides when to delete it.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct SegmentObject {
     pub programs: BTreeMap<ProgramId, Vec<TurnRecord>>,
--- a/src/node/ownership/checkpoint.rs
+++ b/src/node/ownership/checkpoint.rs
@@ -54,7 +54,7 @@
 
     fn purge_ended(&self) {
         let before = self.wall().saturating_sub(self.settings.limits.retention());
-        self.book.borrow_mut().purge(before.as_millis() as u64);
+        self.book.borrow_mut().remove_expired(before.as_millis() as u64);
     }
 
     /// Writes all served shards as they are between two batches.
--- a/src/node/ownership/load.rs
+++ b/src/node/ownership/load.rs
@@ -132,7 +132,7 @@
         let now = Instant::now();
         let resolved: Vec<JournalRecord> = programs.iter().filter_map(resolve_intent).collect();
         for shard in shards {
-            self.book.borrow_mut().drop_shard(*shard);
+            self.book.borrow_mut().remove_shard(*shard);
         }
         self.segments.borrow_mut().loaded(shards, &programs);
         for mut program in programs {
--- a/src/node/ownership/mod.rs
+++ b/src/node/ownership/mod.rs
@@ -159,7 +159,7 @@
         let lost = self.shards.borrow().lost(&self.identity());
         for shard in &lost {
             self.shards.borrow_mut().forget(*shard);
-            self.book.borrow_mut().drop_shard(*shard);
+            self.book.borrow_mut().remove_shard(*shard);
         }
         if !lost.is_empty() {
             self.shards_changed.notify_waiters();
@@ -287,7 +287,7 @@
                 continue;
             }
             self.shards.borrow_mut().forget(*shard);
-            self.book.borrow_mut().drop_shard(*shard);
+            self.book.borrow_mut().remove_shard(*shard);
             released.push(*shard);
         }
         self.shards_changed.notify_waiters();
