--- a/src/core/budget/account.rs
+++ b/src/core/budget/account.rs
@@ -15,7 +15,6 @@
     pub(super) reserved: Tokens,
     /// Sum of the waiting calls' tokens, on top of `committed`.
     pub(super) requested: Tokens,
-    /// Tokens of the smallest waiting call.
     pub(super) min_requested: Tokens,
     /// The row did not cover the last draw.
     pub(super) is_underfunded: bool,
@@ -23,9 +22,8 @@
     pub(super) row_unspent: Tokens,
     /// Tokens to retain when the next commit returns the rest; absent if it returns nothing.
     pub(super) retained: Option<Tokens>,
-    /// `spent` at the start of the review period.
+    /// `spent` at the start of the review period, and the highest `committed` since.
     period_spent: Tokens,
-    /// The highest `committed` in the review period.
     period_peak: Tokens,
 }
 
--- a/src/core/budget/ledger.rs
+++ b/src/core/budget/ledger.rs
@@ -15,7 +15,6 @@
     pub headroom: Tokens,
 }
 
-/// Tokens held for one attempt.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use = "a reservation must be settled, or its tokens stay held"]
 pub struct Reservation {
--- a/src/core/history/book.rs
+++ b/src/core/history/book.rs
@@ -73,17 +73,14 @@
             .take_while(move |program| shard_of(program.id) == shard)
     }
 
-    /// Called when another instance has taken over the shard.
     pub fn remove_shard(&mut self, shard: ShardId) {
         self.programs.retain(|id, _| shard_of(*id) != shard);
     }
 
-    /// Called when this instance has been fenced.
     pub fn clear(&mut self) {
         self.programs.clear();
     }
 
-    /// The program that was started with this key.
     pub fn by_start_key(&self, workspace: &str, key: &str) -> Option<&ProgramRecord> {
         self.programs.values().find(|program| {
             &*program.workspace == workspace && program.start_key.as_deref() == Some(key)
--- a/src/core/history/program.rs
+++ b/src/core/history/program.rs
@@ -13,7 +13,6 @@
 };
 use crate::core::outcome::{CallOutcome, RefusalReason};
 
-/// A finished call in the history.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TurnRecord {
     pub number: CallNumber,
@@ -69,7 +68,6 @@
     pub wall_millis: u64,
 }
 
-/// What to do with a submitted call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Admission {
     Run,
@@ -112,7 +110,6 @@
     /// The end is being written: a call admitted now would leave a turn after it.
     #[serde(skip)]
     pub ending: bool,
-    /// Last activity at this owner.
     #[serde(skip)]
     pub last_active: Option<Instant>,
     /// Absent if the program started at another owner.
@@ -153,7 +150,6 @@
         self.unloaded_turns + self.turns.len() as CallNumber + 1
     }
 
-    /// Number of turns in segments.
     pub fn stored_turns(&self) -> u32 {
         self.segments.iter().map(|segment| segment.turns).sum()
     }
--- a/src/core/turns/record.rs
+++ b/src/core/turns/record.rs
@@ -18,7 +18,7 @@
     pub previous: Option<TurnId>,
     /// The program of the previous turn, if it differs from this turn's.
     pub origin: Option<ProgramName>,
-    /// The engine that ran the turn and so holds the chain in its memory.
+    /// Holds the chain in its memory.
     pub upstream: UpstreamId,
     /// Incarnation of the engine; absent if the engine does not report it.
     pub born: Option<BirthMillis>,
