--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -1,5 +1,5 @@
-//! Spending limits: what the engines really bill a workspace never passes its budget, and what
-//! failures leave unspent comes back.
+//! Spending limits of workspaces: engines never bill more than the budget, and tokens that failures
+//! leave unspent are returned.
 
 mod support;
 
@@ -20,8 +20,8 @@
 };
 use tokio::time::{Instant, sleep};
 
-/// Longer than any reaction to a fault: suspicion, takeover, the return of idle grants.
-const REACTION: Duration = Duration::from_secs(60);
+/// Exceeds the time for suspicion, takeover and the return of idle grants together.
+const RECOVERY_DELAY: Duration = Duration::from_secs(60);
 
 fn billed(cluster: &TestCluster) -> Tokens {
     cluster.engines.iter().map(|engine| engine.billed().get("w").copied().unwrap_or(0)).sum()
@@ -32,21 +32,19 @@
     serde_json::from_str(&row.value).expect("the row parses")
 }
 
-/// The row shows what was billed, and nothing else is drawn.
+/// The row includes all that was billed, and nothing else is drawn.
 fn assert_settled(cluster: &TestCluster, limit: Tokens) {
     let billed = billed(cluster);
     assert!(billed > 0, "nothing was billed");
     assert_eq!(budget_row(cluster), BudgetRow { limit, drawn: billed, spent: billed });
 }
 
-/// A deployment with workspace `w`.
 async fn start(count: usize, budget: Tokens) -> Rc<TestCluster> {
     let cluster = TestCluster::start(count).await;
     cluster.workspace("w", ServiceClass::Paying, budget).await;
     cluster
 }
 
-/// Runs one call of a new program to its answer.
 async fn run_call(cluster: &TestCluster, node: usize) -> ProgramId {
     let program = cluster.start_program(node, "w").await;
     let call = cluster.node(node).submit(model_call(program, 1, "one")).await;
@@ -63,7 +61,7 @@
     }
 }
 
-/// A call that takes some ten seconds and waits long for its turn.
+/// A call with a long output, and a deadline that outlasts the queue.
 fn long_call(program: ProgramId, number: u32) -> CallRequest {
     CallRequest {
         target: CallTarget::Model { max_tokens: 2_000 },
@@ -72,7 +70,7 @@
     }
 }
 
-/// Leaves one engine in the roster; returns the instance that hands out its slots.
+/// Leaves one engine in the roster; returns the index of the instance that assigns its slots.
 async fn keep_one_engine(cluster: &TestCluster) -> usize {
     let mut roster = cluster.platform.list().await.expect("the platform answers");
     roster.retain(|entry| entry.role != RosterRole::Engine || &*entry.id == "e0");
@@ -83,7 +81,7 @@
     members.iter().position(|member| *member == owners["e0"]).expect("it has an owner")
 }
 
-/// Calls until the budget refuses for good; returns how many calls were answered.
+/// Calls until a refusal is permanent; returns the number of answered calls.
 async fn spend_all(cluster: &Rc<TestCluster>, node: usize, program: ProgramId) -> u32 {
     spend_calls(cluster, node, program, model_call(program, 1, "more")).await
 }
@@ -97,7 +95,7 @@
     let limit = Instant::now() + Duration::from_secs(300);
     let mut number = 1;
     loop {
-        assert!(Instant::now() < limit, "told to come back for 300 s, after {number} calls");
+        assert!(Instant::now() < limit, "no permanent refusal within 300 s, after {number} calls");
         let request_id = format!("r{number}").into();
         let call = CallRequest { program, number, request_id, ..call.clone() };
         let result = outcome(cluster.node(node).submit(call).await).await;
@@ -110,11 +108,10 @@
     }
 }
 
-/// Every caller gets an answer or, in the end, a refusal for good; the bill stays in the budget.
-/// Three instances run nine programs of one workspace until the budget is gone, so that the last
-/// tokens are drawn by all of them at once.
+/// Guards against overspending or unusable tokens when several instances draw the last of a budget
+/// at once.
 #[test]
-fn many_instances_share_the_last_tokens() {
+fn concurrent_instances_spend_the_budget_without_exceeding_it() {
     run_paused(async {
         let cluster = start(3, 3_000).await;
         let mut tasks = Vec::new();
@@ -127,7 +124,7 @@
         for task in tasks {
             task.await.expect("the caller ends");
         }
-        sleep(REACTION).await;
+        sleep(RECOVERY_DELAY).await;
         let (billed, row) = (billed(&cluster), budget_row(&cluster));
         assert!(billed <= 3_000, "{billed} tokens were billed");
         assert!(billed > 2_700, "only {billed} tokens could be used");
@@ -135,10 +132,9 @@
     });
 }
 
-/// A caller at one instance is refused although most of the budget is unspent. Another instance
-/// drew it and has no call for it any more, so the grant has to go back to the row.
+/// Guards against refusals while an idle instance holds most of the budget.
 #[test]
-fn idle_grants_return_to_the_row() {
+fn idle_grants_are_returned_to_the_row() {
     run_paused(async {
         let cluster = start(2, 400).await;
         let programs = [cluster.start_program(0, "w").await, cluster.start_program(1, "w").await];
@@ -150,10 +146,10 @@
     });
 }
 
-/// The caller sees its call resumed elsewhere. An engine restarts in the middle of an answer and
-/// then knows nothing of the request when it is cancelled, but what it had done was billed.
+/// Guards against refunding what an engine billed before it restarted in the middle of an answer
+/// and lost the request.
 #[test]
-fn an_engine_that_forgets_a_request_is_paid() {
+fn cost_at_a_restarted_engine_counts_as_spent() {
     run_paused(async {
         let cluster = start(2, 1_000).await;
         let mut number = 0;
@@ -169,17 +165,15 @@
             if refused(&result).is_some_and(|refusal| refusal.retry_after.is_none()) {
                 break;
             }
-            assert!(number < 100, "the budget never ends");
+            assert!(number < 100, "the budget is not exhausted after {number} calls");
         }
         assert!(billed(&cluster) <= 1_000, "{} tokens were billed", billed(&cluster));
     });
 }
 
-/// The caller gets its answer from another engine. One engine's stream breaks and so does every
-/// reply to the cancellation for a while; in the end the engine tells what the attempt cost, and
-/// not all that was held for it stays counted as spent.
+/// Guards against counting a full reservation as spent when the replies to a cancellation are lost.
 #[test]
-fn lost_cancel_replies_cost_nothing_in_the_end() {
+fn lost_cancel_replies_settle_at_the_actual_cost() {
     run_paused(async {
         let cluster = start(2, 10_000).await;
         let program = cluster.start_program(0, "w").await;
@@ -188,17 +182,16 @@
         let busy = cluster.engines.iter().find(|engine| engine.calls() > 0).expect("it runs");
         busy.faults.set(lose_replies(8));
         answer_text(&outcome(call).await);
-        sleep(REACTION).await;
+        sleep(RECOVERY_DELAY).await;
         assert_settled(&cluster, 10_000);
         let tokens = cluster.node(0).programs_here()[0].tokens;
         assert_eq!(tokens, billed(&cluster), "the program's limit counts the same tokens");
     });
 }
 
-/// The caller gets its answer; the budget shows no trace of the crash half a minute later. An
-/// instance dies while its calls run, so up to its ceiling nobody knows what it has spent.
+/// Guards against tokens that stay drawn after an instance dies with running calls.
 #[test]
-fn a_crash_strands_no_tokens() {
+fn crash_returns_unspent_tokens() {
     run_paused(async {
         let cluster = start(3, 50_000).await;
         for index in 0..4 {
@@ -211,48 +204,46 @@
         sleep(Duration::from_millis(30)).await;
         cluster.kill(0);
         cluster.settled().await;
-        let stranded = budget_row(&cluster).drawn - billed(&cluster);
-        println!("tokens stranded at the takeover: {stranded}");
-        sleep(REACTION).await;
+        let unresolved = budget_row(&cluster).drawn - billed(&cluster);
+        println!("unresolved tokens at the takeover: {unresolved}");
+        sleep(RECOVERY_DELAY).await;
         assert_settled(&cluster, 50_000);
         assert!(cluster.platform.peek_keys("account/").is_empty());
     });
 }
 
-/// Nobody sees it, but the budget would shrink with every such stop. An instance that leaves has
-/// handed over its shards when the store goes away, so it ends with its grants out and without a
-/// shard whose takeover would close its account.
+/// Guards against lost grants of an instance that stops during a store outage after it has handed
+/// over its shards, so that no takeover closes its account.
 #[test]
-fn grants_of_an_instance_without_shards_return() {
+fn grants_of_an_instance_without_shards_are_returned() {
     run_paused(async {
         let cluster = start(3, 50_000).await;
         run_call(&cluster, 0).await;
         let leaving = cluster.node(0);
         let stopping = leaving.clone();
-        let stop = actix_rt::spawn(async move { stopping.shut_down(REACTION).await });
+        let stop = actix_rt::spawn(async move { stopping.shut_down(RECOVERY_DELAY).await });
         wait_until(|| leaving.serving_shards().is_empty()).await;
         cluster.gates(0).platform.set(outage());
         stop.await.expect("it stops");
         cluster.kill(0);
-        sleep(REACTION).await;
+        sleep(RECOVERY_DELAY).await;
         assert_settled(&cluster, 50_000);
     });
 }
 
-/// Its callers see "unknown"; the workspace's bill stays within the budget. An instance is cut
-/// off from the store and the members with calls that wait for a slot, their tokens reserved. Its
-/// account is closed, others spend what comes back, and it still sends what it had reserved.
+/// Guards against overspending by an isolated instance that still sends its reserved calls after
+/// others have closed its account and spent the refund.
 #[test]
-fn a_deposed_owner_spends_nothing_that_was_refunded() {
+fn fenced_instance_does_not_spend_refunded_tokens() {
     run_paused(async {
         const BUDGET: Tokens = 90_000;
         let cluster = start(3, BUDGET).await;
         let first = keep_one_engine(&cluster).await;
         let others = [(first + 1) % 3, (first + 2) % 3];
-        let deposed = cluster.node(first);
+        let fenced = cluster.node(first);
         for _ in 0..40 {
             let program = cluster.start_program(first, "w").await;
-            let _ = deposed.submit(long_call(program, 1)).await;
+            let _ = fenced.submit(long_call(program, 1)).await;
         }
         sleep(Duration::from_secs(1)).await;
         cluster.set_cut(first, true);
@@ -271,16 +262,14 @@
         for task in tasks {
             task.await.expect("the caller ends");
         }
-        sleep(REACTION).await;
+        sleep(RECOVERY_DELAY).await;
         assert!(billed(&cluster) <= BUDGET, "{} tokens were billed", billed(&cluster));
     });
 }
 
-/// Nobody sees it, but others could spend the same tokens again. An instance dies while a call
-/// runs, and the call's engine restarts before it is asked what that call had cost: it answers
-/// "nothing", and what it had billed must stay counted all the same.
+/// Guards against refunding a dead instance's call whose engine restarted and so reports no cost.
 #[test]
-fn what_a_restarted_engine_forgot_stays_counted() {
+fn unreported_cost_of_a_restarted_engine_stays_drawn() {
     run_paused(async {
         let cluster = start(3, 50_000).await;
         let program = cluster.start_program(0, "w").await;
@@ -291,7 +280,7 @@
             engine.restart();
         }
         cluster.settled().await;
-        sleep(REACTION).await;
+        sleep(RECOVERY_DELAY).await;
         let (billed, row) = (billed(&cluster), budget_row(&cluster));
         assert!(billed > 0 && row.drawn >= billed, "{billed} billed, but only {row:?}");
         sleep(Duration::from_secs(600)).await;
@@ -301,20 +290,19 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Disturbance {
+enum GrantFault {
     LostReplies,
     StoreOutage,
     RetiredWorkspace,
 }
 
-/// Callers wait, or are told that their workspace is gone; the row ends up equal to the bill.
-/// While six programs spend, the store loses the replies to grant writes, or fails for longer than
-/// a config is trusted, or the operator retires the workspace with its grants out.
+/// Guards against a row that differs from the bill after lost replies to grant writes, an outage
+/// longer than the config's validity, or the retirement of a workspace with grants.
 #[rstest]
-#[case::lost_replies(Disturbance::LostReplies)]
-#[case::store_outage(Disturbance::StoreOutage)]
-#[case::retired_workspace(Disturbance::RetiredWorkspace)]
-fn disturbed_grants_match_the_bill(#[case] disturbance: Disturbance) {
+#[case::lost_replies(GrantFault::LostReplies)]
+#[case::store_outage(GrantFault::StoreOutage)]
+#[case::retired_workspace(GrantFault::RetiredWorkspace)]
+fn row_matches_the_bill_after_grant_faults(#[case] fault: GrantFault) {
     run_paused(async move {
         const BUDGET: Tokens = 100_000;
         let cluster = start(3, BUDGET).await;
@@ -326,18 +314,19 @@
         for (node, program) in &calls {
             let _ = cluster.node(*node).submit(model_call(*program, 1, "one")).await;
         }
-        match disturbance {
-            // One at a time and with a slow store, or the reads before the commits use them all up.
-            Disturbance::LostReplies => {
+        match fault {
+            // One at a time and with a slow store, so that reads before the commits do not use up
+            // all faults.
+            GrantFault::LostReplies => {
                 let slow = FaultSettings { delay_ms: 10, ..lose_replies(1) };
                 for _ in 0..200 {
                     cluster.platform.faults.set(slow.clone());
                     sleep(Duration::from_millis(15)).await;
                 }
             }
-            Disturbance::StoreOutage => cluster.platform.faults.set(outage()),
-            Disturbance::RetiredWorkspace => {
-                // A call that no engine has got yet is not run once the workspace is retired.
+            GrantFault::StoreOutage => cluster.platform.faults.set(outage()),
+            GrantFault::RetiredWorkspace => {
+                // A call that has not reached an engine is not run once the workspace is retired.
                 wait_until(|| billed(&cluster) > 0).await;
                 cluster.retire("w", BUDGET).await;
             }
@@ -347,15 +336,14 @@
         for (node, program) in &calls {
             let _ = cluster.node(*node).submit(model_call(*program, 2, "two")).await;
         }
-        sleep(REACTION).await;
+        sleep(RECOVERY_DELAY).await;
         assert_settled(&cluster, BUDGET);
     });
 }
 
-/// Callers of a spent workspace are refused at once and for good. Every such refusal asks the
-/// row again, which must not cost a write: the store's writes belong to the calls that run.
+/// Guards against a store write for each call that an exhausted budget refuses.
 #[test]
-fn refusals_cost_no_writes() {
+fn refused_calls_cause_no_writes() {
     run_paused(async {
         let cluster = start(2, 100).await;
         let program = cluster.start_program(0, "w").await;
