--- a/tests/budget_model.rs
+++ b/tests/budget_model.rs
@@ -1,4 +1,4 @@
-//! The budget's ledgers and rows against an oracle that knows every token really billed.
+//! Checks budget ledgers and rows against a model that counts every token billed.
 
 use std::collections::BTreeMap;
 
@@ -24,16 +24,16 @@
         ledger: usize,
         percent: Tokens,
     },
-    /// The ledger builds a commit from the row as it is now.
+    /// The ledger prepares a commit from the current row.
     Build {
         ledger: usize,
     },
-    /// The table handles the commit that was built; its reply may be lost.
+    /// The table handles the prepared commit; its reply may be lost.
     Commit {
         ledger: usize,
         reply_lost: bool,
     },
-    Review {
+    ScheduleReturns {
         ledger: usize,
     },
     /// The instance dies, and its account is closed at once with the engines' costs.
@@ -46,7 +46,7 @@
     },
 }
 
-/// The oracle needs no state of its own: the bill is kept beside the ledgers.
+/// Stateless: the bill is kept beside the ledgers.
 struct AnySteps;
 
 impl ReferenceStateMachine for AnySteps {
@@ -64,7 +64,7 @@
             3 => (ledger.clone(), 0..=100u64).prop_map(|(ledger, percent)| Step::Settle { ledger, percent }),
             4 => ledger.clone().prop_map(|ledger| Step::Build { ledger }),
             4 => (ledger.clone(), any::<bool>()).prop_map(|(ledger, reply_lost)| Step::Commit { ledger, reply_lost }),
-            1 => ledger.clone().prop_map(|ledger| Step::Review { ledger }),
+            1 => ledger.clone().prop_map(|ledger| Step::ScheduleReturns { ledger }),
             1 => (ledger, 0..=100u64).prop_map(|(ledger, percent)| Step::Crash { ledger, percent }),
             1 => (0..2 * LIMIT).prop_map(|tokens| Step::Limit { tokens }),
         ]
@@ -77,7 +77,7 @@
 struct BuiltCommit {
     draws: Vec<DrawRequest>,
     account: AccountRow,
-    /// The row to write and the version it was read at; absent if it stays as it is.
+    /// The row to write and the version it was read at; absent if it is not written.
     row: Option<(BudgetRow, u64)>,
     seen: BudgetRow,
     applied: bool,
@@ -90,9 +90,9 @@
     /// The limit when the row was last read for this ledger.
     seen_limit: Tokens,
     held: Vec<Reservation>,
-    /// Drawn and spent by accounts that its row no longer names.
+    /// Drawn and spent by accounts that have been removed from the row.
     finished: Tokens,
-    /// Costs by attempt, as the engines remember them.
+    /// Costs by attempt, as the engines report them.
     costs: BTreeMap<AttemptNumber, Tokens>,
 }
 
@@ -231,7 +231,7 @@
             }
             Step::Build { ledger } => budget.build(ledger),
             Step::Commit { ledger, reply_lost } => budget.commit(ledger, reply_lost),
-            Step::Review { ledger } => budget.instances[ledger].ledger.schedule_returns(),
+            Step::ScheduleReturns { ledger } => budget.instances[ledger].ledger.schedule_returns(),
             Step::Crash { ledger, percent } => budget.crash(ledger, percent),
             Step::Limit { tokens } => {
                 if tokens >= budget.row.drawn {
@@ -254,7 +254,7 @@
         assert!(row.drawn <= row.limit, "{row:?}");
         assert!(budget.billed + running <= row.drawn, "{} + {running}, {row:?}", budget.billed);
         assert!(row.spent <= budget.billed, "{} billed, {row:?}", budget.billed);
-        // What the dead have spent, and nothing else, is drawn besides the live grants.
+        // Besides live grants, only the spending of dead instances is drawn.
         let drawn = |instance: &TestInstance| instance.drawn() + instance.finished;
         let live: Tokens = budget.instances.iter().map(drawn).sum();
         let mine = |instance: &TestInstance| instance.costs.values().sum::<Tokens>();
@@ -272,5 +272,5 @@
     })]
 
     #[test]
-    fn ledgers_keep_every_budget(sequential 1..200 => BudgetTest);
+    fn ledgers_never_exceed_the_budget(sequential 1..200 => BudgetTest);
 }
--- a/tests/token_allowances.rs
+++ b/tests/token_allowances.rs
@@ -1,4 +1,4 @@
-//! Tokens that instances hold ahead of a program's turns, without a store.
+//! Token allowances of several instances against one ledger, without a store.
 
 use std::collections::BTreeMap;
 
@@ -10,16 +10,16 @@
 const HOLDERS: usize = 3;
 const BUDGET: u64 = 200;
 
-/// What happens to one of several instances that hold tokens of the same program.
+/// An event at one of several instances that hold tokens of the same program.
 #[derive(Debug, Clone)]
 enum HolderStep {
-    /// A turn comes; the reply to the write that it may need is lost where `true`.
-    Start { holder: usize, most: u64, is_ahead: bool, lost: bool },
-    /// Its oldest turn ends.
+    /// `lost`: the reply to the ledger write is lost, if the turn needs one.
+    Start { holder: usize, max_tokens: u64, is_ahead: bool, lost: bool },
+    /// The oldest turn ends.
     End { holder: usize, used: u64 },
-    /// It gives back what it does not use.
-    GiveBack { holder: usize },
-    /// It dies; the next life knows nothing.
+    /// An idle holder returns its unused tokens.
+    Return { holder: usize },
+    /// The next incarnation starts without state.
     Kill { holder: usize },
 }
 
@@ -27,33 +27,32 @@
     let holder = 0..HOLDERS;
     let start = (holder.clone(), 1..40_u64, any::<bool>(), prop::bool::weighted(0.2));
     let step = prop_oneof![
-        4 => start.prop_map(|(holder, most, is_ahead, lost)| HolderStep::Start {
-            holder, most, is_ahead, lost
+        4 => start.prop_map(|(holder, max_tokens, is_ahead, lost)| HolderStep::Start {
+            holder, max_tokens, is_ahead, lost
         }),
         3 => (holder.clone(), 0..40_u64).prop_map(|(holder, used)| HolderStep::End { holder, used }),
-        1 => holder.clone().prop_map(|holder| HolderStep::GiveBack { holder }),
+        1 => holder.clone().prop_map(|holder| HolderStep::Return { holder }),
         1 => holder.prop_map(|holder| HolderStep::Kill { holder }),
     ];
     prop::collection::vec(step, 1..120)
 }
 
-/// One life of an instance.
+/// One incarnation of an instance.
 struct Holder {
     allowance: TokenAllowance,
-    /// The ledger as it was last seen, and its version.
+    /// The version and state of the ledger when it was last read or written.
     seen: (u64, ProgramLedger),
     turns: BTreeMap<TurnId, u64>,
 }
 
-/// The store's ledger, the instances, and what callers may have been handed.
 struct World {
     stored: (u64, ProgramLedger),
     holders: Vec<Holder>,
-    lives: u64,
+    incarnations: u64,
     turns: u64,
-    /// Tokens handed out by turns that have ended.
-    handed: u64,
-    /// Most tokens of turns whose instance died.
+    /// Tokens used by turns that have ended.
+    used: u64,
+    /// Maximum tokens of turns whose instance died.
     orphaned: u64,
 }
 
@@ -61,21 +60,21 @@
     fn new() -> Self {
         let stored = (0, ProgramLedger::default());
         let mut world =
-            Self { stored, holders: Vec::new(), lives: 0, turns: 0, handed: 0, orphaned: 0 };
+            Self { stored, holders: Vec::new(), incarnations: 0, turns: 0, used: 0, orphaned: 0 };
         for _ in 0..HOLDERS {
-            let holder = world.new_life();
+            let holder = world.new_incarnation();
             world.holders.push(holder);
         }
         world
     }
 
-    fn new_life(&mut self) -> Holder {
-        self.lives += 1;
-        let allowance = TokenAllowance::new(format!("life-{}", self.lives).into());
+    fn new_incarnation(&mut self) -> Holder {
+        self.incarnations += 1;
+        let allowance = TokenAllowance::new(format!("allowance-{}", self.incarnations).into());
         Holder { allowance, seen: (0, ProgramLedger::default()), turns: BTreeMap::new() }
     }
 
-    /// Writes on condition that nobody else has; in a conflict the newest state is learned.
+    /// Writes conditionally; reads the newest state on a conflict.
     fn write(&mut self, holder: usize, ledger: ProgramLedger, lost: bool) -> bool {
         let holder = &mut self.holders[holder];
         if holder.seen.0 != self.stored.0 {
@@ -89,16 +88,16 @@
         !lost
     }
 
-    fn start(&mut self, number: usize, most: u64, is_ahead: bool, lost: bool) {
+    fn start(&mut self, number: usize, max_tokens: u64, is_ahead: bool, lost: bool) {
         self.turns += 1;
         let turn: TurnId = format!("t{}", self.turns).into();
         for _ in 0..2 {
             let holder = &mut self.holders[number];
-            let demand = holder.allowance.demand(&turn, most);
+            let demand = holder.allowance.demand(&turn, max_tokens);
             let name = holder.allowance.name().clone();
             if holder.seen.1.reserved(&name) < demand.min_tokens {
                 let mut ledger = holder.seen.1.clone();
-                let ahead = if is_ahead { most * PREALLOCATED_TURNS } else { 0 };
+                let ahead = if is_ahead { max_tokens * PREALLOCATED_TURNS } else { 0 };
                 let reply = ledger.extend(&name, demand, ahead, BUDGET);
                 if reply != ReserveReply::Reserved {
                     return;
@@ -108,25 +107,25 @@
                 }
             }
             let holder = &mut self.holders[number];
-            holder.allowance.start(&turn, most);
-            holder.turns.insert(turn, most);
+            holder.allowance.start(&turn, max_tokens);
+            holder.turns.insert(turn, max_tokens);
             return;
         }
     }
 
     fn end(&mut self, number: usize, used: u64) {
         let holder = &mut self.holders[number];
-        let Some((turn, most)) = holder.turns.pop_first() else { return };
-        let used = used.min(most);
+        let Some((turn, max_tokens)) = holder.turns.pop_first() else { return };
+        let used = used.min(max_tokens);
         assert!(holder.allowance.end(&turn, used));
-        self.handed += used;
+        self.used += used;
     }
 
-    fn give_back(&mut self, number: usize) {
+    fn return_unused(&mut self, number: usize) {
         if !self.holders[number].allowance.is_idle() {
             return;
         }
-        let fresh = self.new_life();
+        let fresh = self.new_incarnation();
         let former = std::mem::replace(&mut self.holders[number].allowance, fresh.allowance);
         while self.holders[number].seen.1.reserved(former.name()) > 0 {
             let mut ledger = self.holders[number].seen.1.clone();
@@ -138,43 +137,43 @@
     }
 
     fn kill(&mut self, number: usize) {
-        let fresh = self.new_life();
+        let fresh = self.new_incarnation();
         let former = std::mem::replace(&mut self.holders[number], fresh);
         self.orphaned += former.turns.values().sum::<u64>();
     }
 
-    /// Tokens that callers have, or may yet be handed.
-    fn at_most_handed(&self) -> u64 {
+    /// Tokens that callers have received, or may still receive.
+    fn max_used(&self) -> u64 {
         let running = self.holders.iter().flat_map(|holder| holder.turns.values()).sum::<u64>();
-        self.handed + self.orphaned + running
+        self.used + self.orphaned + running
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(11), cases: 512, ..ProptestConfig::default() })]
 
-    /// Guards against tokens handed out twice by instances that die, lose replies or return tokens.
+    /// Guards against tokens used twice after instances die, lose replies or return tokens.
     #[test]
-    fn holders_never_hand_out_more_than_the_budget(steps in steps()) {
+    fn holders_never_use_more_than_the_budget(steps in steps()) {
         let mut world = World::new();
         for step in steps {
             match step {
-                HolderStep::Start { holder, most, is_ahead, lost } => {
-                    world.start(holder, most, is_ahead, lost);
+                HolderStep::Start { holder, max_tokens, is_ahead, lost } => {
+                    world.start(holder, max_tokens, is_ahead, lost);
                 }
                 HolderStep::End { holder, used } => world.end(holder, used),
-                HolderStep::GiveBack { holder } => world.give_back(holder),
+                HolderStep::Return { holder } => world.return_unused(holder),
                 HolderStep::Kill { holder } => world.kill(holder),
             }
-            prop_assert!(world.at_most_handed() <= BUDGET, "{} handed out", world.at_most_handed());
+            prop_assert!(world.max_used() <= BUDGET, "{} tokens used", world.max_used());
             prop_assert!(world.stored.1.committed() <= BUDGET);
         }
     }
 }
 
-/// Guards against a first holder that leaves a second one nothing while the budget is far from spent.
+/// Guards against an instance that reserves all of an unspent budget ahead.
 #[test]
-fn tokens_ahead_leave_half_of_the_rest() {
+fn preallocation_leaves_half_of_the_unreserved_budget() {
     let mut ledger = ProgramLedger::default();
     let allowance = TokenAllowance::new("a".into());
     let demand = allowance.demand(&"t".into(), 20);
