--- a/tests/history.rs
+++ b/tests/history.rs
@@ -1,4 +1,4 @@
-//! Histories of concurrent callers under faults: per program they must be linearizable.
+//! Checks that each program's history is linearizable with concurrent callers and faults.
 
 mod support;
 
@@ -30,10 +30,11 @@
     }
 }
 
-/// Calls in order; a rival submits each of them, and the one after it, somewhere else.
+/// Submits calls in order while a second caller submits each of them and the next at another
+/// instance.
 async fn run_program(cluster: Rc<TestCluster>, recorder: Rc<ProgramRecorder>) {
     for number in 1..=CALLS {
-        let rival = {
+        let duplicate = {
             let (cluster, recorder) = (cluster.clone(), recorder.clone());
             actix_rt::spawn(async move {
                 for number in [number, number + 1] {
@@ -44,13 +45,13 @@
             })
         };
         recorder.insist(&cluster, call(recorder.program, number)).await;
-        rival.await.expect("the rival does not panic");
+        duplicate.await.expect("the second caller does not panic");
         sleep(Duration::from_millis(300)).await;
     }
 }
 
-/// Faults that come one after the other, two of them often at the same time.
-async fn disturb(cluster: Rc<TestCluster>, seed: u64, rounds: u32) {
+/// Injects random faults one after the other; those without a pause overlap with the next.
+async fn inject_faults(cluster: Rc<TestCluster>, seed: u64, rounds: u32) {
     let mut rng = SmallRng::seed_from_u64(seed);
     for _ in 0..rounds {
         let index = rng.random_range(0..INSTANCES);
@@ -82,10 +83,8 @@
     }
 }
 
-/// Every caller gets, for each of its calls, the one answer that belongs to the history before
-/// it, whatever dies, hangs or loses its replies meanwhile, and each booking runs at most once.
-/// Callers retry at other instances with the same request id; rivals submit the same calls and
-/// the next ones at the same time, so calls come doubled and ahead of their turn.
+/// Guards against answers that do not follow from the history before the call, and bookings that
+/// run twice, when instances die, hang or lose replies and calls arrive doubled or early.
 #[rstest]
 #[case::calm(1, 0)]
 #[case::faults_1(11, 12)]
@@ -96,9 +95,9 @@
     run_paused(check_history(seed, rounds));
 }
 
-/// As above, for a few more seeds; `HISTORY_SEEDS=500 cargo test --test history` makes it long.
+/// As above for more seeds; set their number with `HISTORY_SEEDS=500 cargo test --test history`.
 #[test]
-fn further_histories_are_linearizable() {
+fn recorded_calls_are_linearizable_for_more_seeds() {
     let seeds = std::env::var("HISTORY_SEEDS").ok().and_then(|text| text.parse().ok());
     for seed in 100..100 + seeds.unwrap_or(4) {
         eprintln!("seed {seed}");
@@ -114,7 +113,7 @@
         let program = cluster.start_program(index % INSTANCES, "w").await;
         recorders.push(ProgramRecorder::new(program));
     }
-    let faults = actix_rt::spawn(disturb(cluster.clone(), seed, rounds));
+    let faults = actix_rt::spawn(inject_faults(cluster.clone(), seed, rounds));
     let callers: Vec<_> = recorders
         .iter()
         .map(|recorder| actix_rt::spawn(run_program(cluster.clone(), recorder.clone())))
--- a/tests/turn_ledgers.rs
+++ b/tests/turn_ledgers.rs
@@ -1,4 +1,4 @@
-//! Ledgers, records and the cache of turns, without a store.
+//! Turn ledgers, records and the turn cache, without a store.
 
 use std::rc::Rc;
 
@@ -8,7 +8,6 @@
 };
 use proptest::prelude::*;
 
-/// What a sequence of turns does to a ledger, against a plain sum.
 #[derive(Debug, Clone)]
 enum LedgerStep {
     Reserve(u8, u64),
@@ -17,7 +16,7 @@
 
 fn steps() -> impl Strategy<Value = Vec<LedgerStep>> {
     let step = prop_oneof![
-        (0..12_u8, 0..40_u64).prop_map(|(turn, most)| LedgerStep::Reserve(turn, most)),
+        (0..12_u8, 0..40_u64).prop_map(|(turn, max_tokens)| LedgerStep::Reserve(turn, max_tokens)),
         (0..12_u8, 0..40_u64).prop_map(|(turn, used)| LedgerStep::Settle(turn, used)),
     ];
     prop::collection::vec(step, 1..80)
@@ -26,45 +25,44 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(3), ..ProptestConfig::default() })]
 
-    /// Whatever turns reserve and use, no more than the budget is ever committed, repeated
-    /// reservations count once, and a settled turn's use stays.
+    /// Guards against overspending, reservations counted twice and lost use of settled turns.
     #[test]
-    fn a_ledger_never_commits_more_than_the_budget(steps in steps()) {
+    fn ledger_never_commits_more_than_the_budget(steps in steps()) {
         const BUDGET: u64 = 100;
         let mut ledger = ProgramLedger::default();
-        let mut open = std::collections::BTreeMap::new();
+        let mut reserved = std::collections::BTreeMap::new();
         let mut spent = 0;
         for step in steps {
             match step {
-                LedgerStep::Reserve(turn, most) => {
+                LedgerStep::Reserve(turn, max_tokens) => {
                     let name = format!("t{turn}").into();
-                    let fits = spent + open.values().sum::<u64>() + most <= BUDGET;
-                    let known = open.contains_key(&turn);
-                    let reply = ledger.reserve(&name, most, BUDGET);
+                    let fits = spent + reserved.values().sum::<u64>() + max_tokens <= BUDGET;
+                    let known = reserved.contains_key(&turn);
+                    let reply = ledger.reserve(&name, max_tokens, BUDGET);
                     prop_assert_eq!(reply == ReserveReply::Reserved, fits || known);
                     if fits && !known {
-                        open.insert(turn, most);
+                        reserved.insert(turn, max_tokens);
                     }
                 }
                 LedgerStep::Settle(turn, used) => {
-                    let most = open.remove(&turn);
-                    // No engine makes more tokens than the most that was asked for.
-                    let used = used.min(most.unwrap_or(0));
+                    let max_tokens = reserved.remove(&turn);
+                    // Engines never generate more than the requested maximum.
+                    let used = used.min(max_tokens.unwrap_or(0));
                     let name = format!("t{turn}").into();
-                    prop_assert_eq!(ledger.settle(&name, used), most.is_some());
+                    prop_assert_eq!(ledger.settle(&name, used), max_tokens.is_some());
                     spent += used;
                 }
             }
-            prop_assert_eq!(ledger.committed(), spent + open.values().sum::<u64>());
+            prop_assert_eq!(ledger.committed(), spent + reserved.values().sum::<u64>());
             prop_assert!(ledger.committed() <= BUDGET);
         }
     }
 
     #[test]
-    fn a_record_reads_back_from_its_pieces(
+    fn split_record_decodes_to_the_original(
         input in prop::collection::vec(any::<u8>(), 0..300),
         output in prop::collection::vec(any::<u8>(), 0..300),
-        most in 1..64_usize,
+        max_bytes in 1..64_usize,
     ) {
         let record = TurnRecord {
             previous: Some("t0".into()),
@@ -76,15 +74,15 @@
             output: Bytes::from(output),
         };
         let value = record.encode();
-        let pieces = split_value(value.len(), most);
-        prop_assert!(pieces.iter().all(|piece| piece.len() <= most && !piece.is_empty()));
+        let pieces = split_value(value.len(), max_bytes);
+        prop_assert!(pieces.iter().all(|piece| piece.len() <= max_bytes && !piece.is_empty()));
         let joined: Vec<u8> = pieces.into_iter().flat_map(|piece| value[piece].to_vec()).collect();
         prop_assert_eq!(TurnRecord::decode(joined.into()), Ok(record));
     }
 }
 
 #[test]
-fn a_refusal_tells_whether_it_lasts() {
+fn refusal_is_permanent_if_spending_alone_exceeds_the_budget() {
     let mut ledger = ProgramLedger::default();
     assert_eq!(ledger.reserve(&"a".into(), 60, 100), ReserveReply::Reserved);
     let short = ledger.reserve(&"b".into(), 60, 100);
@@ -95,7 +93,7 @@
 }
 
 #[test]
-fn torn_records_are_errors() {
+fn malformed_records_are_rejected() {
     for value in
         ["", "no head", "{}\nx", r#"{"u":"e","t":1,"i":5}"#, "{\"u\":\"e\",\"t\":1,\"i\":5}\nabc"]
     {
@@ -119,7 +117,7 @@
 }
 
 #[test]
-fn the_cache_forgets_programs_whole_and_the_oldest_first() {
+fn cache_evicts_complete_programs_least_recently_used_first() {
     let mut cache = TurnCache::new(4_000);
     let programs: [Box<str>; 3] = ["p".into(), "q".into(), "r".into()];
     cache.insert(&programs[0], "p1".into(), record(None, 1_000));
