--- a/src/core/budget/ledger.rs
+++ b/src/core/budget/ledger.rs
@@ -50,7 +50,7 @@
     pub workspace: WorkspaceId,
     pub granted: Tokens,
     pub returned: Tokens,
-    /// Spending that the row does not include yet.
+    /// Spending that this change adds to the row.
     pub reported: Tokens,
     /// The row after the change.
     pub row: BudgetRow,
