--- a/src/gateway/turns/allowances.rs
+++ b/src/gateway/turns/allowances.rs
@@ -10,7 +10,8 @@
 use super::claim::{CLAIM_TRIES, ClaimError, ClaimSource, ClaimedTurn, TurnClaim};
 use super::{BACKGROUND_LIMIT, ReserveError, TurnChain, TurnEnd, TurnKeeper, TurnReservation};
 use crate::core::turns::{
-    LineHolders, ProgramLedger, ProgramName, ReserveReply, TURNS_AHEAD, TokenAllowance, TurnScope,
+    PREALLOCATED_TURNS, PrefixHolders, ProgramLedger, ProgramName, ReserveReply, TokenAllowance,
+    TurnScope,
 };
 
 /// Unused for so long, an allowance may be given back: its program has ended or pauses.
@@ -25,7 +26,7 @@
     allowance: TokenAllowance,
     used_at: Instant,
     /// Where the last turn of each line of the program ran.
-    lines: LineHolders,
+    lines: PrefixHolders,
     /// Whether it holds no tokens ahead, as another instance coordinates the program.
     stands_in: bool,
 }
@@ -53,7 +54,7 @@
             *made += 1;
             let name = format!("{life:016x}-{made}").into();
             let allowance = TokenAllowance::new(name);
-            let lines = LineHolders::default();
+            let lines = PrefixHolders::default();
             HeldAllowance { allowance, used_at: Instant::now(), lines, stands_in }
         })
     }
@@ -94,7 +95,7 @@
         source: ClaimSource,
     ) -> Result<ClaimedTurn, ClaimError> {
         let coordinates = matches!(source, ClaimSource::Own | ClaimSource::Peer);
-        if claim.only_known && coordinates && !self.cache.borrow().knows_ledger(&claim.program) {
+        if claim.only_known && coordinates && !self.cache.borrow().has_ledger(&claim.program) {
             return Err(ClaimError::NotAdmitted);
         }
         self.prune_allowances();
@@ -133,8 +134,8 @@
         let Some(held) = allowances.held.get_mut(&claim.program) else { return false };
         let Some((_, ledger)) = self.cache.borrow().ledger(&claim.program) else { return false };
         let demand = held.allowance.demand(&claim.turn, claim.most);
-        let lasts = ledger.kept_until() >= self.kept_until(claim.retention);
-        if !lasts || ledger.held(held.allowance.name()) < demand.least {
+        let lasts = ledger.retained_until() >= self.kept_until(claim.retention);
+        if !lasts || ledger.reserved(held.allowance.name()) < demand.min_tokens {
             return false;
         }
         held.allowance.start(&claim.turn, claim.most);
@@ -154,7 +155,7 @@
         let held = allowances.get_or_make(&claim.program, !is_ahead);
         let is_ahead = is_ahead && !held.stands_in;
         let demand = held.allowance.demand(&claim.turn, claim.most);
-        let ahead = if is_ahead { claim.most.saturating_mul(TURNS_AHEAD) } else { 0 };
+        let ahead = if is_ahead { claim.most.saturating_mul(PREALLOCATED_TURNS) } else { 0 };
         let reply = ledger.extend(held.allowance.name(), demand, ahead, claim.budget);
         if reply == ReserveReply::Reserved {
             held.allowance.start(&claim.turn, claim.most);
@@ -179,7 +180,7 @@
         let Some(held) = allowances.held.get_mut(program) else { return };
         held.allowance.end(turn, *used);
         if let Some(line) = ran_at {
-            held.lines.note(line.clone());
+            held.lines.record(line.clone());
         }
         // The coordinator needs what is left here.
         if held.stands_in && held.allowance.is_idle() {
--- a/tests/stored_bytes.rs
+++ b/tests/stored_bytes.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use merlinsaddle::config::NodeSettings;
-use merlinsaddle::core::budget::{AccountRow, BudgetRow, StrandedRow};
+use merlinsaddle::core::budget::{AccountRow, BudgetRow, UnresolvedSpending};
 use merlinsaddle::core::config::ConfigChange;
 use merlinsaddle::core::history::{JournalBatch, ProgramRecord, SegmentObject};
 use merlinsaddle::core::members::MemberInfo;
@@ -12,7 +12,7 @@
 use merlinsaddle::core::ownership::{IncarnationRow, ShardRow};
 use merlinsaddle::core::quotas::{LimitSample, QuotaAsk, QuotaReply};
 use merlinsaddle::core::timeline::TimelineEvent;
-use merlinsaddle::core::turns::{LineHolder, ProgramLedger, TurnRecord, TurnScope};
+use merlinsaddle::core::turns::{PrefixHolder, ProgramLedger, TurnRecord, TurnScope};
 use merlinsaddle::gateway::GatewaySettings;
 use merlinsaddle::node::calls::CallTarget;
 use merlinsaddle::node::platform::{CommitReply, KeyedRow, RosterEntry, TableTransaction};
@@ -64,7 +64,7 @@
 #[rstest]
 #[case::ledger(rewrite::<ProgramLedger>, r#"{"s":5,"o":{"t1":40,"t2":6},"k":1700}"#)]
 #[case::scope(rewrite::<Vec<TurnScope>>, r#"["history","tokens"]"#)]
-#[case::holder(rewrite::<LineHolder>, r#"{"line":"l","upstream":"u","born":12}"#)]
+#[case::holder(rewrite::<PrefixHolder>, r#"{"line":"l","upstream":"u","born":12}"#)]
 #[case::quota_ask(rewrite::<QuotaAsk>, r#"{"opens":true}"#)]
 #[case::quota_replies(
     rewrite::<Vec<QuotaReply>>,
@@ -84,7 +84,7 @@
     r#"{"workspaces":{"w":{"drawn":9,"ceiling":8,"spent":7,"reported":6}},"open_from":5,"open_since_millis":4}"#
 )]
 #[case::stranded(
-    rewrite::<StrandedRow>,
+    rewrite::<UnresolvedSpending>,
     r#"{"workspaces":{"w":9},"open_from":5,"open_since_millis":4,"closed_millis":3}"#
 )]
 #[case::shard(
