--- a/src/core/cache/mod.rs
+++ b/src/core/cache/mod.rs
@@ -1,4 +1,4 @@
-//! Our own record of which engine holds which prefix; engines' events only correct it.
+//! Tracks which engine holds which prefix, as estimated from calls and corrected by engine events.
 
 mod working_set;
 
@@ -8,12 +8,10 @@
 
 pub use working_set::WorkingSet;
 
-/// What a cached prefix belongs to.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PrefixKey {
-    /// The history of one program.
     Program(ProgramId),
-    /// The instructions shared by all programs of a definition.
+    /// Instructions common to all programs of a definition.
     Shared { workspace: WorkspaceId, definition: DefinitionName },
 }
 
@@ -29,7 +27,7 @@
     total: Tokens,
 }
 
-/// Prefixes by engine, evicted least recently used first as the engines do.
+/// Evicts the least recently used prefix first, as the engines do.
 #[derive(Debug, Default)]
 pub struct ResidencyMap {
     engines: BTreeMap<UpstreamId, EngineCache>,
@@ -37,14 +35,14 @@
 }
 
 impl ResidencyMap {
-    /// Tokens of a program's prompt that an engine should hold.
+    /// Tokens of a program's prompt that an engine is expected to hold.
     pub fn resident(&self, engine: &str, program: ProgramId, shared: &PrefixKey) -> Tokens {
         let Some(cache) = self.engines.get(engine) else { return 0 };
         let tokens = |key: &PrefixKey| cache.prefixes.get(key).map_or(0, |prefix| prefix.tokens);
         tokens(&PrefixKey::Program(program)).max(tokens(shared))
     }
 
-    /// Whether an engine should hold some of a program's own history.
+    /// Counts only the program's own history, not the shared prefix.
     pub fn holds(&self, engine: &str, program: ProgramId) -> bool {
         let cache = self.engines.get(engine);
         cache.is_some_and(|cache| cache.prefixes.contains_key(&PrefixKey::Program(program)))
@@ -62,14 +60,13 @@
         }
     }
 
-    /// Forgets a program on one engine.
     pub fn drop_program(&mut self, engine: &str, program: ProgramId) {
         if let Some(cache) = self.engines.get_mut(engine) {
             cache.remove(&PrefixKey::Program(program));
         }
     }
 
-    /// Forgets an engine that restarted or left.
+    /// To be called when an engine has restarted or left.
     pub fn drop_engine(&mut self, engine: &str) {
         self.engines.remove(engine);
     }
--- a/src/core/cache/working_set.rs
+++ b/src/core/cache/working_set.rs
@@ -1,4 +1,4 @@
-//! Programs that live on one engine, and whether its memory has room for another.
+//! Memory demand of the programs on one engine, which decides whether another program fits.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,11 +13,10 @@
     seen: Instant,
 }
 
-/// Memory that the programs of one engine need so that each finds its prefix after its pauses.
+/// Memory that the programs of one engine need to find their prefixes after a pause.
 #[derive(Debug)]
 pub struct WorkingSet {
     capacity: Tokens,
-    /// A program not seen for so long needs nothing any more.
     idle_limit: Duration,
     programs: BTreeMap<ProgramId, LivingProgram>,
     total: Tokens,
@@ -28,36 +27,34 @@
         Self { capacity, idle_limit, programs: BTreeMap::new(), total: 0 }
     }
 
-    /// Records what a program needs now.
+    /// Adds a program, or replaces its demand.
     pub fn enter(&mut self, program: ProgramId, tokens: Tokens, now: Instant) {
         self.leave(program);
         self.total += tokens;
         self.programs.insert(program, LivingProgram { tokens, seen: now });
     }
 
-    /// Forgets a program that has ended.
     pub fn leave(&mut self, program: ProgramId) {
         if let Some(living) = self.programs.remove(&program) {
             self.total -= living.tokens;
         }
     }
 
-    /// Forgets programs that were not seen for long: they ended elsewhere, moved or are idle.
+    /// Removes idle programs: they ended elsewhere, moved or pause for long.
     pub fn expire(&mut self, now: Instant) {
         let limit = self.idle_limit;
         self.programs.retain(|_, living| now.saturating_duration_since(living.seen) < limit);
         self.total = self.programs.values().map(|living| living.tokens).sum();
     }
 
-    /// Whether `tokens` more stay below `per_mille` of the memory, beside `others` that are to come
-    /// first. An empty engine has room for any one program.
+    /// Counts `others` as used. An empty engine accepts any one program, whatever its size.
     pub fn has_room(&self, tokens: Tokens, others: Tokens, per_mille: u16) -> bool {
         let used = self.total + others;
         let bound = self.capacity * Tokens::from(per_mille) / 1000;
         used == 0 || used + tokens <= bound
     }
 
-    /// Tokens needed, in per mille of the memory.
+    /// Demand, in per mille of the memory.
     pub fn pressure(&self) -> u16 {
         (self.total * 1000 / self.capacity.max(1)).min(u16::MAX.into()) as u16
     }
