--- a/src/core/dispatch/choice.rs
+++ b/src/core/dispatch/choice.rs
@@ -1,63 +1,57 @@
-//! Which engine a call should go to.
+//! Chooses the engine that runs a call.
 
 use std::cmp::Reverse;
 use std::time::Duration;
 
 use crate::core::ids::{Tokens, UpstreamId};
 
-/// What is known of one engine when a call has to be placed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineCandidate {
     pub engine: UpstreamId,
     pub slots: usize,
-    /// Calls running and waiting there, as well as it is known.
+    /// Calls running and waiting; may be stale for an engine of another instance.
     pub load: usize,
-    /// Expected wait in its queue.
     pub wait: Duration,
-    /// Tokens of the call's prompt that it holds.
+    /// Tokens of the prompt in the engine's cache.
     pub resident: Tokens,
-    /// Whether this instance owns its slots, so that a permit costs no message.
+    /// Owned by this instance, so that a permit costs no message.
     pub local: bool,
-    /// Memory its programs need, in per mille of what it has.
+    /// Memory demand of its programs, in per mille of its memory.
     pub pressure: u16,
-    /// How long a call holds a slot there; zero if that is not known.
+    /// Time that a call occupies a slot; zero if unknown.
     pub hold: Duration,
 }
 
-/// What a call needs of an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineNeed {
     pub prompt: Tokens,
-    /// Whether it is the first call of a program, which will stay and grow where it begins.
+    /// First call of a program, which later returns to the engine that ran it.
     pub newcomer: bool,
 }
 
-/// Chooses an engine.
 pub trait EngineChooser {
     /// Index into `candidates`, or `None` if there is none.
     fn choose(&self, candidates: &[EngineCandidate], need: EngineNeed) -> Option<usize>;
 }
 
-/// What prefilling costs.
 #[derive(Debug, Clone, Copy)]
 pub struct PrefillCost {
     pub per_token: Duration,
 }
 
-/// An engine whose calls take this many times as long as the fastest one's counts as slow. Less
-/// than that is the luck of which calls it had.
+/// Ratio to the shortest occupancy above which an engine counts as slow. Smaller differences come
+/// from the mix of calls.
 const SLOW_FACTOR: u32 = 3;
 
-/// Least expected time to the first token: the wait there plus the prefill of what is not
-/// resident there. Equal costs go to the least loaded, then to an engine of one's own. A newcomer
-/// goes where memory is left, whatever that costs at first: it will push others out elsewhere,
-/// call after call.
+/// Minimizes the expected time to the first token: the wait plus the prefill of what is not
+/// resident. Cold programs go to the engine with the least memory contention first, as they would
+/// evict other programs with each call. Ties go to the lower load, then to a local engine.
 #[derive(Debug, Clone, Copy)]
 pub struct CacheAwareChooser {
     pub cost: PrefillCost,
-    /// What a permit of another instance counts: its messages, and that its load is known late.
+    /// Added for engines of other instances, for messages and stale load.
     pub remote: Duration,
-    /// Above this, in per mille, memory decides where newcomers go.
+    /// In per mille; below it, memory pressure has no effect.
     pub crowded: u16,
 }
 
@@ -69,8 +63,7 @@
 
 impl EngineChooser for CacheAwareChooser {
     fn choose(&self, candidates: &[EngineCandidate], need: EngineNeed) -> Option<usize> {
-        // An engine that is new, or comes back, is not slow: it would never get the calls that show
-        // how fast it is.
+        // An engine of unknown speed doesn't count as slow, or it would never get a call.
         let holds = candidates.iter().map(|candidate| candidate.hold);
         let fastest = holds.filter(|hold| !hold.is_zero()).min().unwrap_or_default();
         let rank = |index: &usize| {
@@ -87,7 +80,7 @@
     }
 }
 
-/// The engine with the fewest calls for its slots, whatever it holds; a baseline.
+/// Baseline that ignores resident prefixes.
 #[derive(Debug, Clone, Copy)]
 pub struct LeastLoaded;
 
@@ -97,7 +90,7 @@
     }
 }
 
-/// The engine that holds the longest prefix, however long its queue; a baseline.
+/// Baseline that follows the longest resident prefix, whatever the queue.
 #[derive(Debug, Clone, Copy)]
 pub struct StickyHolder;
 
--- a/src/core/dispatch/mod.rs
+++ b/src/core/dispatch/mod.rs
@@ -1,4 +1,4 @@
-//! Who may use an engine next, and which engine a call should go to.
+//! Places calls on engines and orders the engines' queues.
 
 mod choice;
 mod policy;
--- a/src/core/dispatch/policy.rs
+++ b/src/core/dispatch/policy.rs
@@ -1,4 +1,4 @@
-//! Orders of a queue.
+//! Orders in which an engine's queue is served.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -8,32 +8,30 @@
 use super::slots::{ServiceClass, SlotRequest};
 use crate::core::ids::{Tokens, WorkspaceId};
 
-/// Chooses who gets the next free slot.
 pub trait QueuePolicy {
     /// Index into `waiting`, or `None` if it is empty.
     fn pick(&self, waiting: &[SlotRequest], now: Instant) -> Option<usize>;
 
-    /// Told of every grant, for policies that keep shares.
+    /// Called for every grant.
     fn granted(&mut self, _request: &SlotRequest) {}
 }
 
-/// Paying before trial; within a class the workspace with the least weighted service; within a
-/// workspace the program with the least service. Waiting makes up for service attained, and one
-/// grant in twenty goes to trial work that waits, so that nothing starves.
+/// Orders by class, the workspace's weighted service and the program's attained service. Aging and
+/// a minimum rate of trial grants prevent starvation.
 #[derive(Debug, Default)]
 pub struct LeastAttained {
-    /// Weighted service of each workspace, and the level a newcomer starts at.
+    /// Weighted service of each workspace.
     shares: BTreeMap<WorkspaceId, f64>,
+    /// Weighted service at which a new workspace starts.
     floor: f64,
-    /// Grants to paying work since the last one to trial work.
+    /// Since the last grant to trial work.
     paying_grants: u32,
 }
 
-/// Trial work comes after so many paying grants, however much paying work waits. Promoting it by
-/// age instead let a surge's whole backlog into the paying class, and no call lives long enough to
-/// be promoted when its deadline is shorter than the age.
+/// A ratio instead of promotion by age, which would promote the entire backlog of a surge, or
+/// nothing where deadlines are shorter than the age.
 const PAYING_GRANTS_PER_TRIAL: u32 = 19;
-/// Service a program is forgiven for each second its call waits.
+/// Deducted from a program's attained service for each second that its call waits.
 const AGING_TOKENS_PER_SECOND: Tokens = 200;
 
 impl LeastAttained {
@@ -71,7 +69,7 @@
     }
 }
 
-/// In order of arrival; the first baseline.
+/// Baseline.
 #[derive(Debug, Default)]
 pub struct FirstCome;
 
@@ -81,7 +79,7 @@
     }
 }
 
-/// Paying before trial and short calls first, blind to programs; the second baseline.
+/// Baseline that ignores programs: paying before trial, then the shortest call.
 #[derive(Debug, Default)]
 pub struct PerCall;
 
--- a/src/core/dispatch/slots.rs
+++ b/src/core/dispatch/slots.rs
@@ -1,4 +1,4 @@
-//! The slots of one engine, handed out by the one instance that owns it.
+//! Queue and slots of one engine, managed by the instance that owns it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,7 +10,6 @@
 use crate::core::cache::WorkingSet;
 use crate::core::ids::{InstanceId, PermitId, ProgramId, Tokens, WorkspaceId};
 
-/// Whether a workspace pays.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceClass {
@@ -18,64 +17,61 @@
     Trial,
 }
 
-/// A call that asks for a slot.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SlotRequest {
-    /// Chosen by the holder and never used twice, so that it can give the slot back although the
-    /// answer to its request was lost.
+    /// Allocated by the holder and never reused, so that it can release the slot although the reply
+    /// to its request was lost.
     pub permit: PermitId,
-    /// The instance that runs the program; its slots are freed when it dies.
+    /// The instance that runs the program.
     pub holder: InstanceId,
     pub program: ProgramId,
     pub workspace: WorkspaceId,
     pub class: ServiceClass,
-    /// The workspace's priority, 1 to 1000.
+    /// Of the workspace, 1 to 1000.
     pub weight: u16,
-    /// Tokens the program has had so far.
+    /// Service the program has received so far.
     pub attained: Tokens,
-    /// Tokens this call may take, for the share of its workspace.
+    /// Upper bound, charged to the workspace's service.
     pub tokens: u32,
-    /// The part of them that takes memory of its own: all but the shared prefix.
+    /// Those that need memory of their own: all but the shared prefix.
     pub own_tokens: u32,
-    /// Whether it is the first call of a program that nobody waits for.
+    /// First call of a program without a parent, for which no engine holds memory.
     pub newcomer: bool,
     pub arrived: Instant,
-    /// When waiting longer is useless.
     pub deadline: Instant,
 }
 
-/// What happened to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SlotEvent {
     Granted(PermitId),
-    /// Its deadline passed while it waited.
+    /// The deadline passed in the queue, or the engine takes no new work.
     Expired(PermitId, ServiceClass),
 }
 
-/// A slot that is to be given back before its call has ended.
+/// Asks a holder to release a permit before its call has ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SlotRevocation {
     pub permit: PermitId,
     pub holder: InstanceId,
 }
 
-/// Load of an engine as one class meets it.
+/// Load of an engine from the point of view of one class.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ClassLoad {
-    /// Calls running and waiting that are not behind the class.
+    /// Calls running and waiting, without those of lower classes.
     pub load: usize,
     /// Expected wait of a request that joins the queue now.
     pub wait: Duration,
 }
 
-/// Load of an engine as its owner tells it.
+/// Load of an engine as reported by its owner.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EngineLoad {
     pub paying: ClassLoad,
     pub trial: ClassLoad,
-    /// Memory its programs need, in per mille of what it has.
+    /// Memory demand of its programs, in per mille of its memory.
     pub pressure: u16,
-    /// How long a call holds a slot there; zero if that is not known yet.
+    /// Time that a call occupies a slot; zero if unknown.
     pub hold: Duration,
 }
 
@@ -89,7 +85,7 @@
 }
 
 impl EngineLoad {
-    /// The mean of several engines; nothing waits if there are none.
+    /// Zero if there are no engines.
     pub fn mean(loads: impl IntoIterator<Item = Self>) -> Self {
         let loads: Vec<_> = loads.into_iter().collect();
         let class = |class| ClassLoad::mean(&loads.iter().map(|l| l.of(class)).collect::<Vec<_>>());
@@ -110,9 +106,9 @@
     }
 }
 
-/// Pressure, in per mille of the memory, above which newcomers wait.
+/// Memory pressure, in per mille, above which calls of cold programs wait in the queue.
 ///
-/// Trial programs would otherwise fill the memory and hold paying newcomers back.
+/// A lower limit for trial programs keeps them from filling the memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NewcomerBounds {
     pub paying: u16,
@@ -132,9 +128,8 @@
 struct RunningSlot {
     request: SlotRequest,
     since: Instant,
-    /// Whether its holder has been asked to give it back.
     revoked: bool,
-    /// Whether it was given to trial work though paying work waited.
+    /// Exempt from preemption.
     kept: bool,
 }
 
@@ -146,17 +141,16 @@
     policy: Box<dyn QueuePolicy>,
     running: BTreeMap<PermitId, RunningSlot>,
     waiting: Vec<SlotRequest>,
-    /// Mean time a slot stayed taken, for the time to return given with refusals.
     mean_hold: Duration,
-    /// Whether any call has ended here yet.
+    /// Until the first call ends, `mean_hold` is only a default.
     measured: bool,
 }
 
-/// One slot in so many may be kept by trial calls.
+/// One slot in this many may be reserved by trial calls.
 const KEPT_SLOTS_PART: usize = 20;
 const FIRST_MEAN_HOLD: Duration = Duration::from_secs(2);
 const MEAN_HOLD_WEIGHT: u32 = 8;
-/// No call that an engine took is over sooner; it refused, which tells nothing of its speed.
+/// Shorter calls were refused by the engine and are no sample of its speed.
 const LEAST_HOLD: Duration = Duration::from_millis(5);
 
 impl EngineSlots {
@@ -173,17 +167,16 @@
         }
     }
 
-    /// Holds newcomers back while the programs need more than the bounds say.
     pub fn hold_newcomers(&mut self, bounds: NewcomerBounds) {
         self.admission = Some(bounds);
     }
 
-    /// Puts a request into the queue; [`EngineSlots::advance`] tells when it is its turn.
+    /// The outcome is an event of a later [`EngineSlots::advance`].
     pub fn enqueue(&mut self, request: SlotRequest) {
         self.waiting.push(request);
     }
 
-    /// Grants what can be granted and expires what waited too long.
+    /// Expires overdue requests, then grants free slots.
     pub fn advance(&mut self, now: Instant) -> Vec<SlotEvent> {
         let mut events = self.expire(now);
         let held_back = self.hold_back();
@@ -203,10 +196,10 @@
         events
     }
 
-    /// Takes newcomers out of the queue that the memory has no room for.
+    /// Removes the cold programs that don't fit into memory from the queue and returns them.
     ///
-    /// Each would push the prefix of a paused program out, which then computes it again and pushes
-    /// the next one out: everybody's calls grow long and no more programs end than before.
+    /// Each would evict the prefix of a paused program, whose next call then evicts another one:
+    /// the engine thrashes.
     fn hold_back(&mut self) -> Vec<SlotRequest> {
         let Some(bounds) = self.admission else { return Vec::new() };
         let mut admitted: Tokens = 0;
@@ -258,7 +251,7 @@
         expired
     }
 
-    /// Gives a slot back, or leaves the queue. Repeating it is harmless.
+    /// Releases a slot or cancels a waiting request. Idempotent.
     pub fn finish(&mut self, permit: PermitId, now: Instant) {
         self.waiting.retain(|waiting| waiting.permit != permit);
         if let Some(slot) = self.running.remove(&permit) {
@@ -275,28 +268,26 @@
         }
     }
 
-    /// Empties the queue of an engine that takes no new work; what runs there goes on.
+    /// Rejects all waiting requests of an engine that takes no new work; running calls go on.
     pub fn refuse_waiting(&mut self) -> Vec<SlotEvent> {
         let expired = |waiting: SlotRequest| SlotEvent::Expired(waiting.permit, waiting.class);
         self.waiting.drain(..).map(expired).collect()
     }
 
-    /// Forgets a program that has ended.
     pub fn end_program(&mut self, program: ProgramId) {
         self.memory.leave(program);
     }
 
-    /// Frees what a dead instance held or waited for.
+    /// Releases the slots and requests of an instance that died.
     pub fn drop_holder(&mut self, holder: &str) {
         self.waiting.retain(|waiting| &*waiting.holder != holder);
         self.running.retain(|_, slot| &*slot.request.holder != holder);
     }
 
-    /// Takes a slot from a trial call for paying work that has waited `limit`: from the youngest,
-    /// which loses least. The holder has to be told, and finishes the permit when it has stopped.
+    /// Revokes the slot of the youngest trial call, which loses least work, for a paying call that
+    /// has waited `limit`. The caller notifies the holder, which releases the permit.
     ///
-    /// A newcomer that memory holds back is not helped by a slot: the slot would go to the next
-    /// trial call, which would be cancelled in its turn, without end.
+    /// Deferred calls don't count: the slot would go to another trial call, to be preempted again.
     pub fn preempt(&mut self, now: Instant, limit: Duration) -> Option<SlotRevocation> {
         let starving = self.waiting.iter().filter(|waiting| {
             let late = now.saturating_duration_since(waiting.arrived) >= limit;
@@ -314,7 +305,6 @@
         Some(SlotRevocation { permit: *permit, holder: slot.request.holder.clone() })
     }
 
-    /// How the engine looks to both classes.
     pub fn load(&self, now: Instant) -> EngineLoad {
         EngineLoad {
             paying: self.class_load(ServiceClass::Paying),
@@ -324,8 +314,8 @@
         }
     }
 
-    /// The mean hold, or the mean age of the calls that run now if that is more: an engine that
-    /// has become slow shows it before the first of its slow calls ends.
+    /// The mean occupancy, or the mean age of running calls if greater, which detects a slow engine
+    /// before its first slow call ends.
     fn hold(&self, now: Instant) -> Duration {
         let ages = self.running.values().map(|slot| now.saturating_duration_since(slot.since));
         let mean_age = ages.sum::<Duration>() / self.running.len().max(1) as u32;
@@ -333,8 +323,8 @@
         mean_hold.max(mean_age)
     }
 
-    /// Counts no work behind the class: a queue of trial calls would otherwise look like a wait to
-    /// paying calls, which pass it, and drive them away from the engine that holds their prefix.
+    /// Leaves out lower classes: paying calls overtake trial calls, so a queue of these must not
+    /// divert them from the engine that holds their prefix.
     fn class_load(&self, class: ServiceClass) -> ClassLoad {
         let waiting = self.waiting.iter().filter(|waiting| waiting.class <= class).count();
         let running = self.running.values().filter(|slot| slot.request.class <= class).count();
@@ -344,7 +334,6 @@
         ClassLoad { load: running + waiting, wait }
     }
 
-    /// When a deadline comes next, if anything waits.
     pub fn next_deadline(&self) -> Option<Instant> {
         self.waiting.iter().map(|waiting| waiting.deadline).min()
     }
