--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Who gets an engine's slots, and which engine a call goes to.
+//! Slot scheduling of one engine, and the choice of an engine for a call.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -84,13 +84,12 @@
         now += HOLD;
         slots.finish(permit, now);
     }
-    // 150 is exact; who comes first may cost the other up to one round of four.
+    // Three quarters, give or take one round of four.
     assert!((146..=154).contains(&heavy_grants), "{heavy_grants} of 200");
 }
 
-/// A trial caller is refused again and again while paying work fills the engine for an hour. Paying
-/// calls arrive faster than slots come free, so one always waits and goes before it; or it gets a
-/// slot and loses it to the next paying call before it has got anywhere.
+/// Guards against starvation of trial calls under sustained paying load: none is granted, or each
+/// is preempted right after the grant.
 #[test]
 fn trial_work_does_not_starve() {
     let (mut slots, mut now) = (new_slots(1), Instant::now());
@@ -109,8 +108,7 @@
     }
 }
 
-/// Paying callers lose their cached prefix in a trial surge. Forty trial calls wait at the engine
-/// that holds it; counted as a wait, they send paying calls elsewhere, though these pass them all.
+/// Guards against paying calls being diverted from their cached prefix by a queue of trial calls.
 #[test]
 fn a_queue_of_trial_calls_is_no_wait_to_paying_ones() {
     let (mut slots, now) = (new_slots(4), Instant::now());
@@ -125,8 +123,8 @@
     assert!(load.trial.wait > Duration::from_secs(10), "{:?}", load.trial.wait);
 }
 
-/// Trial streams are cancelled without end. Memory holds a paying newcomer back; a slot taken for
-/// it goes to the next trial call, and the newcomer still waits at the next look.
+/// Guards against endless preemption: a slot freed for a call that waits for memory goes to the
+/// next trial call.
 #[test]
 fn nothing_is_preempted_for_a_newcomer_that_memory_holds_back() {
     let (mut slots, now) = (new_slots(2), Instant::now());
@@ -143,8 +141,7 @@
     assert!(slots.preempt(later, PREEMPT_AFTER).is_some());
 }
 
-/// An owner asks its holders for a slot every tick until the first has stopped its stream. Each
-/// time it would take another trial call's slot for the same paying call.
+/// Guards against a second preemption for the same paying call while the first is under way.
 #[test]
 fn a_waiting_call_preempts_one_trial_call_the_youngest() {
     let (mut slots, now) = (new_slots(3), Instant::now());
@@ -163,8 +160,7 @@
     assert_eq!(granted(&slots.advance(late)), [4]);
 }
 
-/// Everybody's prompts are computed again and again at a season's peak: each new program pushes the
-/// prefix of a paused one out of the engine.
+/// Guards against cache thrashing, where each new program evicts the prefix of a paused one.
 #[test]
 fn newcomers_wait_until_memory_has_room() {
     let (mut slots, now) = (new_slots(8), Instant::now());
@@ -215,8 +211,8 @@
     assert_eq!(&*choose(&[candidate("idle"), holder(1100)], false), "idle");
 }
 
-/// Paying calls take ten times as long for a minute and more. An engine has become slow; its slots
-/// come free late, but no queue shows it, and nothing is known of how fast others' engines are.
+/// Guards against calls sent to an engine whose slowness shows in no queue, and against preferring
+/// remote engines of unknown speed.
 #[test]
 fn slow_engines_are_avoided_and_unknown_ones_are_not_called_fast() {
     let slow = EngineCandidate { hold: Duration::from_secs(20), ..candidate("slow") };
@@ -264,7 +260,6 @@
     #[test]
     fn slots_keep_their_promises(steps in prop::collection::vec(slot_step(), 1..120)) {
         let (mut slots, mut now) = (new_slots(3), Instant::now());
-        // Requests by permit, and the permits that run.
         let mut waiting: BTreeMap<u64, SlotRequest> = BTreeMap::new();
         let mut running: BTreeMap<u64, SlotRequest> = BTreeMap::new();
         let mut next = 0;
@@ -284,7 +279,7 @@
                 }
                 SlotStep::Pass { millis } => now += Duration::from_millis(millis),
                 SlotStep::Finish { permit } => {
-                    // The second time is the repeated message whose first answer was lost.
+                    // Twice, as a retry after a lost reply.
                     slots.finish(permit, now);
                     slots.finish(permit, now);
                     waiting.remove(&permit);
