--- a/tests/preemption.rs
+++ b/tests/preemption.rs
@@ -1,4 +1,4 @@
-//! Trial streams that give way to paying calls and go on later.
+//! Preemption of trial calls by paying calls, and their resumption.
 
 mod support;
 
@@ -13,10 +13,10 @@
 use support::{TestCluster, answer_text, model_call, outcome, run_paused};
 use tokio::time::{Instant, sleep};
 
-/// Calls that fill the slots of all engines.
+/// Fills the slots of all engines.
 const TRIAL_CALLS: usize = 12;
 const ANSWER: u32 = 2_000;
-/// Longer than the return of idle grants takes.
+/// Longer than it takes to return idle budget grants.
 const REACTION: Duration = Duration::from_secs(60);
 const BUDGET: Tokens = 1_000_000;
 
@@ -34,10 +34,8 @@
     events.filter(|event| &*event.kind == "call_preempted").count()
 }
 
-/// A paying caller waits ten seconds before a silent speaker. Trial calls hold every slot, each for
-/// as long as its answer takes. After 250 ms one of them is cancelled, at whichever instance runs
-/// it; it waits again and goes on at the token it had come to, so its answer is the whole one, and
-/// its workspace is billed what the engines say both attempts cost.
+/// Guards against paying calls that wait for long trial calls, and against a preempted call that
+/// loses part of its answer or is billed wrongly.
 #[rstest]
 #[case::by_the_owner_of_the_engines(1)]
 #[case::by_another_instance(3)]
