--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,4 +1,4 @@
-//! The measurements of the policies can be repeated to the digit.
+//! Simulation of the scheduling policies: determinism, reference results and class isolation.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 };
 use merlinsaddle::core::dispatch::ServiceClass;
 
-/// Both workloads on a sixth of the engines for a sixth of the time.
+/// Divisor of the engines and the duration of a workload.
 const PARTS: u32 = 6;
 const SEED: u64 = 3;
 
@@ -52,8 +52,7 @@
     assert_snapshot!(summary(&run(&chosen, &register)), @"programs=16 paying_p95_ms=462678 trial_p95_ms=0 prompt=6075508 recomputed=32000 refusals=0 preemptions=0 unfinished=0");
 }
 
-/// Paying callers feel every trial surge. The calls that come ten times as often fill the engines'
-/// slots and queues, and whatever order there is decides who waits.
+/// Guards against a surge of trial calls that delays paying programs.
 #[test]
 fn a_trial_surge_leaves_paying_programs_alone() {
     let surge = LoadProfile::sarhad().scaled(2);
