--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which calls are taken: order, reuse of request ids, starts and ends that overlap with calls.
+//! Admission of calls: order, reused request ids, and calls that race with starts and ends.
 
 mod support;
 
@@ -18,8 +18,7 @@
     CallOutcome::NotRun(CallRefusal::permanent(reason))
 }
 
-/// Calls come out of order and several at a time, at different instances. Each waits for the one
-/// before it; a number far ahead is refused once the calls before it are done.
+/// Guards against reordering of concurrent calls at several instances, and against gaps.
 #[test]
 fn calls_run_in_the_order_of_their_numbers() {
     run_paused(async {
@@ -42,8 +41,8 @@
     });
 }
 
-/// A request id that stands for one call comes again with another input or number, while the
-/// first call runs or after it. Joining it would hand out the answer to another question.
+/// Guards against answering a call with the result of a different call that used the same request
+/// id.
 #[test]
 fn a_request_id_is_not_taken_for_another_call() {
     run_paused(async {
@@ -72,8 +71,7 @@
     });
 }
 
-/// A program is ended while the write of its end takes long; a call comes meanwhile. It must not
-/// start: its turn would follow the end, and a booking would run for a program that is over.
+/// Guards against a call that runs for an ended program because the write of the end was slow.
 #[test]
 fn no_call_starts_while_a_program_ends() {
     run_paused(async {
@@ -94,8 +92,7 @@
     });
 }
 
-/// A caller's start is slow, and the caller repeats it with the same key at the same instance
-/// before the first one is durable. Both must give the same program.
+/// Guards against a second program when a start is retried before the first attempt is durable.
 #[test]
 fn overlapping_starts_with_one_key_give_one_program() {
     run_paused(async {
@@ -115,9 +112,7 @@
     });
 }
 
-/// The owner does what another instance carried over to it, and its reply is lost on the way
-/// back. The end has happened and the booking runs: neither may be called not run. The same
-/// request again gives the truth.
+/// Guards against reporting a forwarded request as not run when only the owner's reply was lost.
 #[test]
 fn a_lost_reply_of_the_owner_is_not_called_not_run() {
     run_paused(async {
