--- a/tests/admission_gate.rs
+++ b/tests/admission_gate.rs
@@ -1,4 +1,4 @@
-//! Which new programs are let in while engines have more work than they can do.
+//! Admission of new programs while engines are overloaded.
 
 use std::time::Duration;
 
@@ -6,9 +6,8 @@
 use tokio::time::Instant;
 
 const OBJECTIVE: Duration = Duration::from_millis(250);
-/// How long a caller waits for a first word before it leaves.
+/// Callers leave when the first token takes longer.
 const PATIENCE_MS: f64 = 2_000.0;
-/// Turns of one program, each taking an engine's place for so long.
 const TURNS: u32 = 4;
 const WORK_MS: f64 = 250.0;
 const PLACES: usize = 16;
@@ -27,7 +26,6 @@
     admitted as f64 / 400.0
 }
 
-/// Waits that stay so long for a while, 14 a second.
 async fn wait_for(gate: &mut AdmissionGate, millis: f64, seconds: u64) {
     for _ in 0..seconds * 14 {
         tokio::time::advance(Duration::from_millis(71)).await;
@@ -35,7 +33,7 @@
     }
 }
 
-/// Engines are slow by nature, without a queue: nothing is turned away, whatever a first word takes.
+/// Guards against taking the base latency of slow engines for a queue.
 #[tokio::test(start_paused = true)]
 async fn slow_engines_alone_turn_nobody_away() {
     let mut gate = AdmissionGate::default();
@@ -43,8 +41,8 @@
     assert_eq!(share_let_in(&mut gate, 1, Instant::now()), 1.0);
 }
 
-/// Engines are slow by nature, and callers leave before they can hear a word. What those have waited says
-/// nothing against the engines: all first turns are let in. Callers that leave after far longer do.
+/// Guards against taking callers that leave early for a sign of overload, and against ignoring
+/// those that leave late.
 #[tokio::test(start_paused = true)]
 async fn callers_that_leave_early_are_no_overload() {
     let mut gate = AdmissionGate::default();
@@ -63,8 +61,8 @@
     assert!(share_let_in(&mut gate, 1, Instant::now()) < 0.5);
 }
 
-/// A queue grows. The least urgent first turns are cut first, the urgent only after them, and a few of
-/// each are always let in; when the queue has gone, all are again.
+/// Guards against rejecting urgent programs before others, starving a priority, and not recovering
+/// after the overload.
 #[tokio::test(start_paused = true)]
 async fn the_least_urgent_are_turned_away_first() {
     let mut gate = AdmissionGate::default();
@@ -92,8 +90,7 @@
     assert_eq!(present(&mut gate), (1.0, 1.0));
 }
 
-/// A caller that is turned away comes back at once, six times. Its program gets the same answer while
-/// the load is the same, and a time to return that its place in the order needs.
+/// Guards against retries that raise a program's chance of admission.
 #[tokio::test(start_paused = true)]
 async fn all_attempts_of_a_program_get_one_answer() {
     let mut gate = AdmissionGate::default();
@@ -112,20 +109,20 @@
     }
 }
 
-/// Replays programs on engines that take work in the order in which it comes, and whose callers leave
-/// after two seconds without a word; the work is done all the same. Programs that ended, a second.
+/// Simulates programs on FIFO slots that also run the calls of callers that have left. Returns
+/// completed programs per second.
 fn goodput(overload: f64, gate: Option<&mut AdmissionGate>, start: Instant) -> f64 {
     const SECONDS: f64 = 40.0;
     let mut gate = gate;
     let capacity = PLACES as f64 * 1_000.0 / (WORK_MS * f64::from(TURNS));
     let pace_ms = 1_000.0 / (capacity * overload);
-    // When each place is free, and the turns to come: time, program, turns left.
+    // Time at which each slot is free, in milliseconds.
     let mut free = [0.0_f64; PLACES];
     let mut due: std::collections::BTreeMap<(u64, u64), u32> = std::collections::BTreeMap::new();
     for number in 0..(SECONDS * 1_000.0 / pace_ms) as u64 {
         due.insert(((number as f64 * pace_ms * 1_000.0) as u64, number), TURNS);
     }
-    // First words that are still to be heard of, by time in microseconds.
+    // Waits still to be recorded, by time in microseconds and program.
     let mut words: std::collections::BTreeMap<(u64, u64), f64> = std::collections::BTreeMap::new();
     let mut ended = 0_u32;
     while let Some(((micros, program), left)) = due.pop_first() {
@@ -159,9 +156,7 @@
     f64::from(ended) / SECONDS
 }
 
-/// Programs come at the pace that engines can just do, at one and a half times and at twice that, for
-/// 40 seconds. Without a gate the queue outgrows the callers' patience and engines work for nobody;
-/// with it, twice the load brings what the whole capacity did.
+/// Guards against congestion collapse, where engines serve only callers that have left.
 #[tokio::test(start_paused = true)]
 async fn goodput_holds_at_twice_the_capacity() {
     let start = Instant::now();
