--- a/src/core/admission/mod.rs
+++ b/src/core/admission/mod.rs
@@ -116,7 +116,7 @@
 
 impl AdmissionGate {
     /// `millis` is the time to the first token, less the prefill.
-    pub fn note_wait(&mut self, service: &str, millis: f64, objective: Duration, now: Instant) {
+    pub fn record_wait(&mut self, service: &str, millis: f64, objective: Duration, now: Instant) {
         let target = objective.as_secs_f64() * 1e3 * TARGET_SHARE;
         let fresh = || ServiceLoad::new(millis, target, now);
         let load = self.services.entry(service.into()).or_insert_with(fresh);
@@ -130,7 +130,7 @@
 
     /// Records the wait of a turn whose caller left before the first token. As a lower bound, it
     /// never lowers the mean or moves the least wait.
-    pub fn note_left(&mut self, service: &str, millis: f64, now: Instant) {
+    pub fn record_abandoned(&mut self, service: &str, millis: f64, now: Instant) {
         let Some(load) = self.services.get_mut(service) else { return };
         load.step(now);
         if millis > load.wait {
--- a/src/core/cache/mod.rs
+++ b/src/core/cache/mod.rs
@@ -12,7 +12,10 @@
 pub enum PrefixKey {
     Program(ProgramId),
     /// Instructions common to all programs of a definition.
-    Shared { workspace: WorkspaceId, definition: DefinitionName },
+    Shared {
+        workspace: WorkspaceId,
+        definition: DefinitionName,
+    },
 }
 
 #[derive(Debug, Clone, Copy)]
--- a/src/gateway/attempt/guard.rs
+++ b/src/gateway/attempt/guard.rs
@@ -50,7 +50,7 @@
         self.gateway.news.upstreams.borrow_mut().heard(&self.upstream, self.begun);
         if let Some(waited) = self.take_wait() {
             let mut gate = self.gateway.gate.borrow_mut();
-            gate.note_wait(&self.service, waited, self.objective, Instant::now());
+            gate.record_wait(&self.service, waited, self.objective, Instant::now());
         }
     }
 
@@ -75,7 +75,7 @@
             && let Some(waited) = self.take_wait()
         {
             let mut gate = self.gateway.gate.borrow_mut();
-            gate.note_left(&self.service, waited, Instant::now());
+            gate.record_abandoned(&self.service, waited, Instant::now());
         }
         let mut upstreams = self.gateway.news.upstreams.borrow_mut();
         upstreams.ended(&self.upstream, self.begun, self.result.get(), Instant::now());
--- a/tests/admission_gate.rs
+++ b/tests/admission_gate.rs
@@ -29,7 +29,7 @@
 async fn wait_for(gate: &mut AdmissionGate, millis: f64, seconds: u64) {
     for _ in 0..seconds * 14 {
         tokio::time::advance(Duration::from_millis(71)).await;
-        gate.note_wait("llm", millis, OBJECTIVE, Instant::now());
+        gate.record_wait("llm", millis, OBJECTIVE, Instant::now());
     }
 }
 
@@ -49,14 +49,14 @@
     wait_for(&mut gate, 900.0, 2).await;
     for _ in 0..20 {
         for _ in 0..10 {
-            gate.note_left("llm", 30.0, Instant::now());
+            gate.record_abandoned("llm", 30.0, Instant::now());
         }
         wait_for(&mut gate, 900.0, 1).await;
     }
     assert_eq!(share_let_in(&mut gate, 1, Instant::now()), 1.0);
     for _ in 0..60 {
         tokio::time::advance(Duration::from_millis(71)).await;
-        gate.note_left("llm", 3_000.0, Instant::now());
+        gate.record_abandoned("llm", 3_000.0, Instant::now());
     }
     assert!(share_let_in(&mut gate, 1, Instant::now()) < 0.5);
 }
@@ -74,7 +74,7 @@
     let mut cut = 0;
     for _ in 0..20 {
         tokio::time::advance(Duration::from_millis(71)).await;
-        gate.note_wait("llm", 1_200.0, OBJECTIVE, Instant::now());
+        gate.record_wait("llm", 1_200.0, OBJECTIVE, Instant::now());
         let (urgent, other) = present(&mut gate);
         assert!(
             urgent == 1.0 || other < 0.2,
@@ -131,7 +131,7 @@
         if let Some(gate) = gate.as_deref_mut() {
             while words.first_key_value().is_some_and(|((at, _), _)| *at <= micros) {
                 let ((at, _), waited) = words.pop_first().expect("there is one");
-                gate.note_wait("llm", waited, OBJECTIVE, start + Duration::from_micros(at));
+                gate.record_wait("llm", waited, OBJECTIVE, start + Duration::from_micros(at));
             }
             let name = format!("p{program}");
             let newcomer = left == TURNS;
