--- a/src/core/admission/mod.rs
+++ b/src/core/admission/mod.rs
@@ -33,11 +33,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AdmissionReply {
     Admitted,
-    TurnedAway {
+    Rejected {
         /// Time after which the program is admitted if the level rises steadily.
         retry_after: Duration,
         /// Fraction of first turns of this priority that is admitted at present.
-        share: f64,
+        admitted_fraction: f64,
         /// Mean wait above the least.
         excess: Duration,
     },
@@ -155,6 +155,6 @@
         let steps = (draw - share) / GAIN;
         let retry_after = STEP.mul_f64(steps).max(RETRY_LEAST);
         let excess = Duration::from_secs_f64(load.excess() / 1e3);
-        AdmissionReply::TurnedAway { retry_after, share, excess }
+        AdmissionReply::Rejected { retry_after, admitted_fraction: share, excess }
     }
 }
--- a/src/gateway/call/turn.rs
+++ b/src/gateway/call/turn.rs
@@ -253,7 +253,7 @@
 
 /// The refusal of a program's first turn.
 fn turned_away(call: &CallContext, program: &ProgramName, reply: AdmissionReply) -> Refusal {
-    let AdmissionReply::TurnedAway { retry_after, share, excess } = reply else {
+    let AdmissionReply::Rejected { retry_after, admitted_fraction: share, excess } = reply else {
         return Refusal::not_run("engines_overloaded", NOT_ADMITTED_RETRY);
     };
     log::info!(
--- a/tests/admission_gate.rs
+++ b/tests/admission_gate.rs
@@ -102,7 +102,7 @@
         for _ in 0..5 {
             assert_eq!(gate.admit(&request(&program, 1, Instant::now())), first);
         }
-        if let AdmissionReply::TurnedAway { retry_after, .. } = first {
+        if let AdmissionReply::Rejected { retry_after, .. } = first {
             assert!(retry_after >= Duration::from_millis(300));
             assert!(retry_after <= Duration::from_secs(5));
         }
