--- a/src/core/cache/working_set.rs
+++ b/src/core/cache/working_set.rs
@@ -8,7 +8,7 @@
 use crate::core::ids::{ProgramId, Tokens};
 
 #[derive(Debug, Clone, Copy)]
-struct LivingProgram {
+struct ActiveProgram {
     tokens: Tokens,
     seen: Instant,
 }
@@ -17,39 +17,39 @@
 #[derive(Debug)]
 pub struct WorkingSet {
     capacity: Tokens,
-    idle_limit: Duration,
-    programs: BTreeMap<ProgramId, LivingProgram>,
+    idle_timeout: Duration,
+    programs: BTreeMap<ProgramId, ActiveProgram>,
     total: Tokens,
 }
 
 impl WorkingSet {
-    pub fn new(capacity: Tokens, idle_limit: Duration) -> Self {
-        Self { capacity, idle_limit, programs: BTreeMap::new(), total: 0 }
+    pub fn new(capacity: Tokens, idle_timeout: Duration) -> Self {
+        Self { capacity, idle_timeout, programs: BTreeMap::new(), total: 0 }
     }
 
     /// Adds a program, or replaces its demand.
-    pub fn enter(&mut self, program: ProgramId, tokens: Tokens, now: Instant) {
-        self.leave(program);
+    pub fn insert(&mut self, program: ProgramId, tokens: Tokens, now: Instant) {
+        self.remove(program);
         self.total += tokens;
-        self.programs.insert(program, LivingProgram { tokens, seen: now });
+        self.programs.insert(program, ActiveProgram { tokens, seen: now });
     }
 
-    pub fn leave(&mut self, program: ProgramId) {
-        if let Some(living) = self.programs.remove(&program) {
-            self.total -= living.tokens;
+    pub fn remove(&mut self, program: ProgramId) {
+        if let Some(active) = self.programs.remove(&program) {
+            self.total -= active.tokens;
         }
     }
 
     /// Removes idle programs: they ended elsewhere, moved or pause for long.
     pub fn expire(&mut self, now: Instant) {
-        let limit = self.idle_limit;
-        self.programs.retain(|_, living| now.saturating_duration_since(living.seen) < limit);
-        self.total = self.programs.values().map(|living| living.tokens).sum();
+        let timeout = self.idle_timeout;
+        self.programs.retain(|_, active| now.saturating_duration_since(active.seen) < timeout);
+        self.total = self.programs.values().map(|active| active.tokens).sum();
     }
 
     /// Counts `others` as used. An empty engine accepts any one program, whatever its size.
-    pub fn has_room(&self, tokens: Tokens, others: Tokens, per_mille: u16) -> bool {
-        let used = self.total + others;
+    pub fn has_capacity(&self, tokens: Tokens, reserved: Tokens, per_mille: u16) -> bool {
+        let used = self.total + reserved;
         let bound = self.capacity * Tokens::from(per_mille) / 1000;
         used == 0 || used + tokens <= bound
     }
--- a/src/core/dispatch/slots.rs
+++ b/src/core/dispatch/slots.rs
@@ -185,7 +185,7 @@
             let next = self.waiting.swap_remove(index);
             let kept = self.is_kept(&next);
             self.policy.granted(&next);
-            self.memory.enter(next.program, next.own_tokens.into(), now);
+            self.memory.insert(next.program, next.own_tokens.into(), now);
             events.push(SlotEvent::Granted(next.permit));
             self.running.insert(
                 next.permit,
@@ -211,7 +211,7 @@
             if !waiting.newcomer {
                 return true;
             }
-            if self.memory.has_room(tokens, admitted, per_mille) {
+            if self.memory.has_capacity(tokens, admitted, per_mille) {
                 admitted += tokens;
                 return true;
             }
@@ -235,7 +235,7 @@
     fn is_held_back(&self, request: &SlotRequest) -> bool {
         let Some(bounds) = self.admission else { return false };
         let per_mille = bounds.of(request.class);
-        request.newcomer && !self.memory.has_room(request.own_tokens.into(), 0, per_mille)
+        request.newcomer && !self.memory.has_capacity(request.own_tokens.into(), 0, per_mille)
     }
 
     fn expire(&mut self, now: Instant) -> Vec<SlotEvent> {
@@ -275,7 +275,7 @@
     }
 
     pub fn end_program(&mut self, program: ProgramId) {
-        self.memory.leave(program);
+        self.memory.remove(program);
     }
 
     /// Releases the slots and requests of an instance that died.
