--- a/src/core/cache/mod.rs
+++ b/src/core/cache/mod.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy)]
 struct ResidentPrefix {
     tokens: Tokens,
-    used: u64,
+    last_used: u64,
 }
 
 #[derive(Debug, Default)]
@@ -55,7 +55,7 @@
     pub fn touch(&mut self, engine: &str, key: PrefixKey, tokens: Tokens, capacity: Tokens) {
         self.clock += 1;
         let cache = self.engines.entry(engine.into()).or_default();
-        let prefix = ResidentPrefix { tokens, used: self.clock };
+        let prefix = ResidentPrefix { tokens, last_used: self.clock };
         let old = cache.prefixes.insert(key, prefix).map_or(0, |prefix| prefix.tokens);
         cache.total = cache.total + tokens - old;
         while cache.total > capacity && cache.prefixes.len() > 1 {
@@ -77,7 +77,7 @@
 
 impl EngineCache {
     fn evict_oldest(&mut self) {
-        let oldest = self.prefixes.iter().min_by_key(|(_, prefix)| prefix.used);
+        let oldest = self.prefixes.iter().min_by_key(|(_, prefix)| prefix.last_used);
         if let Some(key) = oldest.map(|(key, _)| key.clone()) {
             self.remove(&key);
         }
--- a/src/core/cache/working_set.rs
+++ b/src/core/cache/working_set.rs
@@ -47,7 +47,7 @@
         self.total = self.programs.values().map(|active| active.tokens).sum();
     }
 
-    /// Counts `others` as used. An empty engine accepts any one program, whatever its size.
+    /// `reserved` tokens count as used. An empty engine accepts any one program, whatever its size.
     pub fn has_capacity(&self, tokens: Tokens, reserved: Tokens, per_mille: u16) -> bool {
         let used = self.total + reserved;
         let bound = self.capacity * Tokens::from(per_mille) / 1000;
