--- a/src/bench/policy/setup.rs
+++ b/src/bench/policy/setup.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use crate::core::dispatch::{
-    CacheAwareChooser, EngineChooser, FirstCome, LeastAttained, LeastLoaded, NewcomerBounds,
-    PerCall, PrefillCost, QueuePolicy, StickyHolder,
+    CacheAwareChooser, EngineChooser, FirstCome, LeastAttained, LeastLoadedChooser, NewcomerBounds,
+    PerCall, PrefillCost, QueuePolicy, StickyChooser,
 };
 
 use super::engine::PREFILL_PER_TOKEN;
@@ -80,8 +80,8 @@
 impl ChoiceRule {
     pub(super) fn chooser(self) -> Box<dyn EngineChooser> {
         match self {
-            Self::LeastLoaded => Box::new(LeastLoaded),
-            Self::Sticky => Box::new(StickyHolder),
+            Self::LeastLoaded => Box::new(LeastLoadedChooser),
+            Self::Sticky => Box::new(StickyChooser),
             Self::CacheAware { weight, remote_millis, crowded } => {
                 let cost = PrefillCost { per_token: PREFILL_PER_TOKEN * weight };
                 {
--- a/src/core/dispatch/choice.rs
+++ b/src/core/dispatch/choice.rs
@@ -82,9 +82,9 @@
 
 /// Baseline that ignores resident prefixes.
 #[derive(Debug, Clone, Copy)]
-pub struct LeastLoaded;
+pub struct LeastLoadedChooser;
 
-impl EngineChooser for LeastLoaded {
+impl EngineChooser for LeastLoadedChooser {
     fn choose(&self, candidates: &[EngineCandidate], _need: EngineNeed) -> Option<usize> {
         (0..candidates.len()).min_by_key(|index| least_loaded(&candidates[*index]))
     }
@@ -92,9 +92,9 @@
 
 /// Baseline that follows the longest resident prefix, whatever the queue.
 #[derive(Debug, Clone, Copy)]
-pub struct StickyHolder;
+pub struct StickyChooser;
 
-impl EngineChooser for StickyHolder {
+impl EngineChooser for StickyChooser {
     fn choose(&self, candidates: &[EngineCandidate], _need: EngineNeed) -> Option<usize> {
         let rank = |index: &usize| {
             let candidate = &candidates[*index];
--- a/src/core/dispatch/mod.rs
+++ b/src/core/dispatch/mod.rs
@@ -5,8 +5,8 @@
 mod slots;
 
 pub use choice::{
-    CacheAwareChooser, EngineCandidate, EngineChooser, EngineNeed, LeastLoaded, PrefillCost,
-    StickyHolder,
+    CacheAwareChooser, EngineCandidate, EngineChooser, EngineNeed, LeastLoadedChooser, PrefillCost,
+    StickyChooser,
 };
 pub use policy::{FirstCome, LeastAttained, PerCall, QueuePolicy};
 pub use slots::{
