--- a/src/bench/cores.rs
+++ b/src/bench/cores.rs
@@ -10,7 +10,7 @@
 use crate::core::budget::{BudgetLedger, LedgerSettings, ReserveOutcome};
 use crate::core::cache::WorkingSet;
 use crate::core::config::{ChangeBody, ConfigChange, ConfigView, WorkspaceSpec};
-use crate::core::dispatch::{EngineSlots, LeastAttained, ServiceClass, SlotRequest};
+use crate::core::dispatch::{EngineSlots, LeastAttainedService, ServiceClass, SlotRequest};
 use crate::core::history::{JournalBatch, JournalRecord, ProgramBook, TurnRecord};
 use crate::core::ids::{InstanceId, ProgramId, Tokens, mint_program};
 use crate::core::outcome::{CallAnswer, CallOutcome, TokenUsage};
@@ -252,7 +252,7 @@
 fn measure_queue(count: usize) -> CoreSlope {
     let now = tokio::time::Instant::now();
     let memory = WorkingSet::new(Tokens::MAX / 2, Duration::from_secs(60));
-    let mut slots = EngineSlots::new(1, memory, Box::new(LeastAttained::default()));
+    let mut slots = EngineSlots::new(1, memory, Box::new(LeastAttainedService::default()));
     for index in 0..count {
         slots.enqueue(SlotRequest {
             permit: index as u64,
--- a/src/bench/policy/setup.rs
+++ b/src/bench/policy/setup.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use crate::core::dispatch::{
-    CacheAwareChooser, EngineChooser, FirstCome, LeastAttained, LeastLoadedChooser, NewcomerBounds,
-    PerCall, PrefillCost, QueuePolicy, StickyChooser,
+    CacheAwareChooser, EngineChooser, FirstComeFirstServed, LeastAttainedService,
+    LeastLoadedChooser, NewcomerBounds, PrefillCost, QueuePolicy, ShortestCallFirst, StickyChooser,
 };
 
 use super::engine::PREFILL_PER_TOKEN;
@@ -20,9 +20,9 @@
 impl QueueOrder {
     pub(super) fn policy(self) -> Box<dyn QueuePolicy> {
         match self {
-            Self::FirstCome => Box::new(FirstCome),
-            Self::PerCall => Box::new(PerCall),
-            Self::LeastAttained => Box::new(LeastAttained::default()),
+            Self::FirstCome => Box::new(FirstComeFirstServed),
+            Self::PerCall => Box::new(ShortestCallFirst),
+            Self::LeastAttained => Box::new(LeastAttainedService::default()),
         }
     }
 }
--- a/src/core/dispatch/mod.rs
+++ b/src/core/dispatch/mod.rs
@@ -8,7 +8,7 @@
     CacheAwareChooser, EngineCandidate, EngineChooser, EngineNeed, LeastLoadedChooser, PrefillCost,
     StickyChooser,
 };
-pub use policy::{FirstCome, LeastAttained, PerCall, QueuePolicy};
+pub use policy::{FirstComeFirstServed, LeastAttainedService, QueuePolicy, ShortestCallFirst};
 pub use slots::{
     ClassLoad, EngineLoad, EngineSlots, NewcomerBounds, ServiceClass, SlotEvent, SlotRequest,
     SlotRevocation,
--- a/src/core/dispatch/policy.rs
+++ b/src/core/dispatch/policy.rs
@@ -19,7 +19,7 @@
 /// Orders by class, the workspace's weighted service and the program's attained service. Aging and
 /// a minimum rate of trial grants prevent starvation.
 #[derive(Debug, Default)]
-pub struct LeastAttained {
+pub struct LeastAttainedService {
     /// Weighted service of each workspace.
     shares: BTreeMap<WorkspaceId, f64>,
     /// Weighted service at which a new workspace starts.
@@ -34,13 +34,13 @@
 /// Deducted from a program's attained service for each second that its call waits.
 const AGING_TOKENS_PER_SECOND: Tokens = 200;
 
-impl LeastAttained {
+impl LeastAttainedService {
     fn share(&self, workspace: &str) -> f64 {
         self.shares.get(workspace).copied().unwrap_or(self.floor).max(self.floor)
     }
 }
 
-impl QueuePolicy for LeastAttained {
+impl QueuePolicy for LeastAttainedService {
     fn pick(&self, waiting: &[SlotRequest], now: Instant) -> Option<usize> {
         let trial_turn = self.paying_grants >= PAYING_GRANTS_PER_TRIAL;
         let rank = |index: &usize| {
@@ -71,9 +71,9 @@
 
 /// Baseline.
 #[derive(Debug, Default)]
-pub struct FirstCome;
+pub struct FirstComeFirstServed;
 
-impl QueuePolicy for FirstCome {
+impl QueuePolicy for FirstComeFirstServed {
     fn pick(&self, waiting: &[SlotRequest], _now: Instant) -> Option<usize> {
         (0..waiting.len()).min_by_key(|index| (waiting[*index].arrived, waiting[*index].permit))
     }
@@ -81,9 +81,9 @@
 
 /// Baseline that ignores programs: paying before trial, then the shortest call.
 #[derive(Debug, Default)]
-pub struct PerCall;
+pub struct ShortestCallFirst;
 
-impl QueuePolicy for PerCall {
+impl QueuePolicy for ShortestCallFirst {
     fn pick(&self, waiting: &[SlotRequest], _now: Instant) -> Option<usize> {
         let rank = |index: &usize| {
             let request = &waiting[*index];
--- a/src/node/engines/mod.rs
+++ b/src/node/engines/mod.rs
@@ -17,7 +17,7 @@
 use crate::config::ModelSettings;
 use crate::core::cache::WorkingSet;
 use crate::core::dispatch::{
-    EngineSlots, LeastAttained, NewcomerBounds, SlotRequest, SlotRevocation,
+    EngineSlots, LeastAttainedService, NewcomerBounds, SlotRequest, SlotRevocation,
 };
 use crate::core::ids::{InstanceId, PermitId, ProgramId, Tokens, UpstreamId};
 use crate::core::members::MemberInfo;
@@ -317,7 +317,8 @@
 
 fn new_slots(model: &ModelSettings) -> EngineSlots {
     let memory = WorkingSet::new(model.cache_tokens, PROGRAM_IDLE);
-    let mut slots = EngineSlots::new(model.slots, memory, Box::new(LeastAttained::default()));
+    let mut slots =
+        EngineSlots::new(model.slots, memory, Box::new(LeastAttainedService::default()));
     slots.hold_newcomers(NEWCOMERS);
     slots
 }
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -5,8 +5,8 @@
 
 use merlinsaddle::core::cache::WorkingSet;
 use merlinsaddle::core::dispatch::{
-    CacheAwareChooser, EngineCandidate, EngineChooser, EngineNeed, EngineSlots, LeastAttained,
-    NewcomerBounds, PrefillCost, ServiceClass, SlotEvent, SlotRequest,
+    CacheAwareChooser, EngineCandidate, EngineChooser, EngineNeed, EngineSlots,
+    LeastAttainedService, NewcomerBounds, PrefillCost, ServiceClass, SlotEvent, SlotRequest,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -18,7 +18,7 @@
 
 fn new_slots(slots: usize) -> EngineSlots {
     let memory = WorkingSet::new(10_000, Duration::from_secs(60));
-    EngineSlots::new(slots, memory, Box::new(LeastAttained::default()))
+    EngineSlots::new(slots, memory, Box::new(LeastAttainedService::default()))
 }
 
 fn request(permit: u64, class: ServiceClass, now: Instant) -> SlotRequest {
