--- a/src/bench/cores.rs
+++ b/src/bench/cores.rs
@@ -263,7 +263,7 @@
             weight: 100,
             attained: index as u64,
             tokens: 300,
-            newcomer: false,
+            cold: false,
             own_tokens: 300,
             arrived: now,
             deadline: now + Duration::from_secs(60),
--- a/src/bench/policy/calls.rs
+++ b/src/bench/policy/calls.rs
@@ -84,7 +84,7 @@
             attained: run.attained,
             tokens: (call.prompt + call.output) as u32,
             own_tokens: (call.prompt + call.output - call.shared_tokens) as u32,
-            newcomer: run.attained == 0 && run.parent.is_none(),
+            cold: run.attained == 0 && run.parent.is_none(),
             arrived: self.at(run.asked),
             deadline: self.at(deadline.min(patience)),
         };
--- a/src/bench/policy/driver.rs
+++ b/src/bench/policy/driver.rs
@@ -201,7 +201,7 @@
         let memory = WorkingSet::new(self.profile.memory, PROGRAM_IDLE);
         let mut queue = EngineSlots::new(slots, memory, self.setup.order.policy());
         if let Some(bounds) = self.setup.admission {
-            queue.hold_newcomers(bounds);
+            queue.limit_cold_programs(bounds);
         }
         queue
     }
--- a/src/bench/policy/placing.rs
+++ b/src/bench/policy/placing.rs
@@ -25,7 +25,7 @@
         let input = self.load.programs[program].calls[run.step].input;
         let prompt = run.context + Tokens::from(input);
         let newcomer = run.attained == 0 && run.parent.is_none();
-        let need = EngineNeed { prompt, newcomer };
+        let need = EngineNeed { prompt, cold: newcomer };
         let index = self.chooser.choose(&candidates, need).expect("there are engines");
         engines[index]
     }
--- a/src/bench/policy/setup.rs
+++ b/src/bench/policy/setup.rs
@@ -3,8 +3,9 @@
 use std::time::Duration;
 
 use crate::core::dispatch::{
-    CacheAwareChooser, EngineChooser, FirstComeFirstServed, LeastAttainedService,
-    LeastLoadedChooser, NewcomerBounds, PrefillCost, QueuePolicy, ShortestCallFirst, StickyChooser,
+    CacheAwareChooser, ColdProgramLimits, EngineChooser, FirstComeFirstServed,
+    LeastAttainedService, LeastLoadedChooser, PrefillCost, QueuePolicy, ShortestCallFirst,
+    StickyChooser,
 };
 
 use super::engine::PREFILL_PER_TOKEN;
@@ -120,7 +121,7 @@
     /// Random engines of others that a call looks at, beside its own and those that hold some of
     /// its prompt; all of them if absent.
     pub sample: Option<usize>,
-    pub admission: Option<NewcomerBounds>,
+    pub admission: Option<ColdProgramLimits>,
     pub pause: PauseRule,
     /// Whether engines that have become slow are avoided.
     pub watch_pace: bool,
@@ -141,7 +142,7 @@
             sample: Some(2),
             preempt_after: Some(Duration::from_millis(250)),
             watch_pace: true,
-            admission: Some(NewcomerBounds { paying: 1300, trial: 1000 }),
+            admission: Some(ColdProgramLimits { paying: 1300, trial: 1000 }),
             ..Self::first()
         }
     }
--- a/src/bench/policy/topics.rs
+++ b/src/bench/policy/topics.rs
@@ -7,7 +7,7 @@
     ChoiceRule, HomeChoice, LoadKnowledge, PauseRule, PolicySetup, QueueOrder, SlotControl,
 };
 use super::table::PolicyVariant;
-use crate::core::dispatch::NewcomerBounds;
+use crate::core::dispatch::ColdProgramLimits;
 
 /// One matter to decide.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
@@ -126,7 +126,7 @@
     let at_owner = PolicySetup { home: HomeChoice::EngineOwner, ..chosen.clone() };
     let pause = |pause| PolicySetup { pause, ..chosen.clone() };
     let hold = |paying, trial| PolicySetup {
-        admission: Some(NewcomerBounds { paying, trial }),
+        admission: Some(ColdProgramLimits { paying, trial }),
         ..chosen.clone()
     };
     let open = PolicySetup { admission: None, ..chosen.clone() };
--- a/src/core/dispatch/choice.rs
+++ b/src/core/dispatch/choice.rs
@@ -26,7 +26,7 @@
 pub struct EngineNeed {
     pub prompt: Tokens,
     /// First call of a program, which later returns to the engine that ran it.
-    pub newcomer: bool,
+    pub cold: bool,
 }
 
 pub trait EngineChooser {
@@ -73,7 +73,7 @@
             let slow = candidate.hold > fastest * SLOW_FACTOR;
             let excess = if slow { candidate.hold - fastest } else { Duration::ZERO };
             let cost = candidate.wait + self.cost.per_token * missing + remote + excess;
-            let crowding = if need.newcomer { self.crowding(candidate) } else { 0 };
+            let crowding = if need.cold { self.crowding(candidate) } else { 0 };
             (crowding, cost, candidate.load, !candidate.local)
         };
         (0..candidates.len()).min_by_key(rank)
--- a/src/core/dispatch/mod.rs
+++ b/src/core/dispatch/mod.rs
@@ -10,6 +10,6 @@
 };
 pub use policy::{FirstComeFirstServed, LeastAttainedService, QueuePolicy, ShortestCallFirst};
 pub use slots::{
-    ClassLoad, EngineLoad, EngineSlots, NewcomerBounds, ServiceClass, SlotEvent, SlotRequest,
+    ClassLoad, ColdProgramLimits, EngineLoad, EngineSlots, ServiceClass, SlotEvent, SlotRequest,
     SlotRevocation,
 };
--- a/src/core/dispatch/slots.rs
+++ b/src/core/dispatch/slots.rs
@@ -36,7 +36,7 @@
     /// Those that need memory of their own: all but the shared prefix.
     pub own_tokens: u32,
     /// First call of a program without a parent, for which no engine holds memory.
-    pub newcomer: bool,
+    pub cold: bool,
     pub arrived: Instant,
     pub deadline: Instant,
 }
@@ -110,12 +110,12 @@
 ///
 /// A lower limit for trial programs keeps them from filling the memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NewcomerBounds {
+pub struct ColdProgramLimits {
     pub paying: u16,
     pub trial: u16,
 }
 
-impl NewcomerBounds {
+impl ColdProgramLimits {
     fn of(&self, class: ServiceClass) -> u16 {
         match class {
             ServiceClass::Paying => self.paying,
@@ -137,7 +137,7 @@
 pub struct EngineSlots {
     slots: usize,
     memory: WorkingSet,
-    admission: Option<NewcomerBounds>,
+    cold_limits: Option<ColdProgramLimits>,
     policy: Box<dyn QueuePolicy>,
     running: BTreeMap<PermitId, RunningSlot>,
     waiting: Vec<SlotRequest>,
@@ -158,7 +158,7 @@
         Self {
             slots,
             memory,
-            admission: None,
+            cold_limits: None,
             policy,
             running: BTreeMap::new(),
             waiting: Vec::new(),
@@ -167,8 +167,8 @@
         }
     }
 
-    pub fn hold_newcomers(&mut self, bounds: NewcomerBounds) {
-        self.admission = Some(bounds);
+    pub fn limit_cold_programs(&mut self, limits: ColdProgramLimits) {
+        self.cold_limits = Some(limits);
     }
 
     /// The outcome is an event of a later [`EngineSlots::advance`].
@@ -179,7 +179,7 @@
     /// Expires overdue requests, then grants free slots.
     pub fn advance(&mut self, now: Instant) -> Vec<SlotEvent> {
         let mut events = self.expire(now);
-        let held_back = self.hold_back();
+        let deferred = self.defer_cold_calls();
         while self.running.len() < self.slots {
             let Some(index) = self.policy.pick(&self.waiting, now) else { break };
             let next = self.waiting.swap_remove(index);
@@ -192,7 +192,7 @@
                 RunningSlot { request: next, since: now, revoked: false, kept },
             );
         }
-        self.waiting.extend(held_back);
+        self.waiting.extend(deferred);
         events
     }
 
@@ -200,25 +200,25 @@
     ///
     /// Each would evict the prefix of a paused program, whose next call then evicts another one:
     /// the engine thrashes.
-    fn hold_back(&mut self) -> Vec<SlotRequest> {
-        let Some(bounds) = self.admission else { return Vec::new() };
+    fn defer_cold_calls(&mut self) -> Vec<SlotRequest> {
+        let Some(limits) = self.cold_limits else { return Vec::new() };
         let mut admitted: Tokens = 0;
-        let mut held_back = Vec::new();
+        let mut deferred = Vec::new();
         self.waiting.sort_by_key(|waiting| (waiting.class, waiting.arrived, waiting.permit));
         self.waiting.retain(|waiting| {
             let tokens = Tokens::from(waiting.own_tokens);
-            let per_mille = bounds.of(waiting.class);
-            if !waiting.newcomer {
+            let per_mille = limits.of(waiting.class);
+            if !waiting.cold {
                 return true;
             }
             if self.memory.has_capacity(tokens, admitted, per_mille) {
                 admitted += tokens;
                 return true;
             }
-            held_back.push(waiting.clone());
+            deferred.push(waiting.clone());
             false
         });
-        held_back
+        deferred
     }
 
     /// Whether a request that is granted now keeps its slot, whatever paying work waits.
@@ -232,10 +232,10 @@
         passed && kept < self.slots.div_ceil(KEPT_SLOTS_PART)
     }
 
-    fn is_held_back(&self, request: &SlotRequest) -> bool {
-        let Some(bounds) = self.admission else { return false };
-        let per_mille = bounds.of(request.class);
-        request.newcomer && !self.memory.has_capacity(request.own_tokens.into(), 0, per_mille)
+    fn is_deferred(&self, request: &SlotRequest) -> bool {
+        let Some(limits) = self.cold_limits else { return false };
+        let per_mille = limits.of(request.class);
+        request.cold && !self.memory.has_capacity(request.own_tokens.into(), 0, per_mille)
     }
 
     fn expire(&mut self, now: Instant) -> Vec<SlotEvent> {
@@ -291,7 +291,7 @@
     pub fn preempt(&mut self, now: Instant, limit: Duration) -> Option<SlotRevocation> {
         let starving = self.waiting.iter().filter(|waiting| {
             let late = now.saturating_duration_since(waiting.arrived) >= limit;
-            waiting.class == ServiceClass::Paying && late && !self.is_held_back(waiting)
+            waiting.class == ServiceClass::Paying && late && !self.is_deferred(waiting)
         });
         let revoked = self.running.values().filter(|slot| slot.revoked).count();
         if starving.count() <= revoked || self.running.len() < self.slots {
--- a/src/node/engines/choice.rs
+++ b/src/node/engines/choice.rs
@@ -45,7 +45,7 @@
         let per_token = Duration::from_micros(model.prefill_micros_per_token.into());
         let cost = PrefillCost { per_token: per_token * PREFILL_WEIGHT };
         let chooser = CacheAwareChooser { cost, remote: REMOTE_COST, crowded: CROWDED };
-        let need = EngineNeed { prompt: context.prompt_tokens(), newcomer: context.newcomer };
+        let need = EngineNeed { prompt: context.prompt_tokens(), cold: context.newcomer };
         let index = chooser.choose(&candidates, need)?;
         Some(engines.swap_remove(index))
     }
--- a/src/node/engines/mod.rs
+++ b/src/node/engines/mod.rs
@@ -17,7 +17,7 @@
 use crate::config::ModelSettings;
 use crate::core::cache::WorkingSet;
 use crate::core::dispatch::{
-    EngineSlots, LeastAttainedService, NewcomerBounds, SlotRequest, SlotRevocation,
+    ColdProgramLimits, EngineSlots, LeastAttainedService, SlotRequest, SlotRevocation,
 };
 use crate::core::ids::{InstanceId, PermitId, ProgramId, Tokens, UpstreamId};
 use crate::core::members::MemberInfo;
@@ -32,7 +32,7 @@
 /// How long a program that is not seen counts as living on an engine.
 const PROGRAM_IDLE: Duration = Duration::from_secs(60);
 /// Share of an engine's memory, in per mille, above which new programs wait.
-const NEWCOMERS: NewcomerBounds = NewcomerBounds { paying: 1300, trial: 1000 };
+const NEWCOMERS: ColdProgramLimits = ColdProgramLimits { paying: 1300, trial: 1000 };
 /// Pause before an engine's owner is looked up again after it denied owning the engine.
 const OWNER_RETRY: Duration = Duration::from_millis(100);
 const GIVE_BACK_RETRY: Duration = Duration::from_millis(500);
@@ -180,7 +180,7 @@
                 attained: request.attained,
                 tokens: request.tokens,
                 own_tokens: request.own_tokens,
-                newcomer: request.newcomer,
+                cold: request.newcomer,
                 arrived: now,
                 deadline: now + request.wait,
             });
@@ -319,6 +319,6 @@
     let memory = WorkingSet::new(model.cache_tokens, PROGRAM_IDLE);
     let mut slots =
         EngineSlots::new(model.slots, memory, Box::new(LeastAttainedService::default()));
-    slots.hold_newcomers(NEWCOMERS);
+    slots.limit_cold_programs(NEWCOMERS);
     slots
 }
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -5,8 +5,8 @@
 
 use merlinsaddle::core::cache::WorkingSet;
 use merlinsaddle::core::dispatch::{
-    CacheAwareChooser, EngineCandidate, EngineChooser, EngineNeed, EngineSlots,
-    LeastAttainedService, NewcomerBounds, PrefillCost, ServiceClass, SlotEvent, SlotRequest,
+    CacheAwareChooser, ColdProgramLimits, EngineCandidate, EngineChooser, EngineNeed, EngineSlots,
+    LeastAttainedService, PrefillCost, ServiceClass, SlotEvent, SlotRequest,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -33,7 +33,7 @@
         attained: 0,
         tokens: 100,
         own_tokens: 100,
-        newcomer: false,
+        cold: false,
         arrived: now,
         deadline: now + DEADLINE,
     }
@@ -128,12 +128,12 @@
 #[test]
 fn nothing_is_preempted_for_a_newcomer_that_memory_holds_back() {
     let (mut slots, now) = (new_slots(2), Instant::now());
-    slots.hold_newcomers(NewcomerBounds { paying: 1000, trial: 1000 });
+    slots.limit_cold_programs(ColdProgramLimits { paying: 1000, trial: 1000 });
     for permit in 0..3 {
         slots.enqueue(SlotRequest { own_tokens: 5_000, ..trial(permit, now) });
     }
     slots.advance(now);
-    slots.enqueue(SlotRequest { newcomer: true, ..paying(9, now) });
+    slots.enqueue(SlotRequest { cold: true, ..paying(9, now) });
     let later = now + HOLD;
     assert!(slots.advance(later).is_empty());
     assert_eq!(slots.preempt(later, PREEMPT_AFTER), None);
@@ -164,8 +164,8 @@
 #[test]
 fn newcomers_wait_until_memory_has_room() {
     let (mut slots, now) = (new_slots(8), Instant::now());
-    slots.hold_newcomers(NewcomerBounds { paying: 1000, trial: 500 });
-    let new = |request| SlotRequest { newcomer: true, own_tokens: 4_000, ..request };
+    slots.limit_cold_programs(ColdProgramLimits { paying: 1000, trial: 500 });
+    let new = |request| SlotRequest { cold: true, own_tokens: 4_000, ..request };
     for permit in 1..4 {
         slots.enqueue(new(paying(permit, now)));
     }
@@ -192,11 +192,11 @@
     }
 }
 
-fn choose(candidates: &[EngineCandidate], newcomer: bool) -> Box<str> {
+fn choose(candidates: &[EngineCandidate], cold: bool) -> Box<str> {
     let cost = PrefillCost { per_token: Duration::from_micros(50) };
     let remote = Duration::from_millis(500);
     let chooser = CacheAwareChooser { cost, remote, crowded: 500 };
-    let index = chooser.choose(candidates, EngineNeed { prompt: 20_000, newcomer });
+    let index = chooser.choose(candidates, EngineNeed { prompt: 20_000, cold });
     candidates[index.expect("there are candidates")].engine.clone()
 }
 
