--- a/src/bench/policy/placing.rs
+++ b/src/bench/policy/placing.rs
@@ -69,7 +69,7 @@
             resident: self.residency[home].resident(id, program as u64, &shared),
             local,
             pressure: load.pressure,
-            hold: if self.setup.watch_pace { load.hold } else { Duration::ZERO },
+            occupancy: if self.setup.watch_pace { load.occupancy } else { Duration::ZERO },
         }
     }
 
--- a/src/core/dispatch/choice.rs
+++ b/src/core/dispatch/choice.rs
@@ -19,7 +19,7 @@
     /// Memory demand of its programs, in per mille of its memory.
     pub pressure: u16,
     /// Time that a call occupies a slot; zero if unknown.
-    pub hold: Duration,
+    pub occupancy: Duration,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -64,14 +64,15 @@
 impl EngineChooser for CacheAwareChooser {
     fn choose(&self, candidates: &[EngineCandidate], need: EngineNeed) -> Option<usize> {
         // An engine of unknown speed doesn't count as slow, or it would never get a call.
-        let holds = candidates.iter().map(|candidate| candidate.hold);
-        let fastest = holds.filter(|hold| !hold.is_zero()).min().unwrap_or_default();
+        let occupancies = candidates.iter().map(|candidate| candidate.occupancy);
+        let fastest =
+            occupancies.filter(|occupancy| !occupancy.is_zero()).min().unwrap_or_default();
         let rank = |index: &usize| {
             let candidate = &candidates[*index];
             let missing = need.prompt.saturating_sub(candidate.resident) as u32;
             let remote = if candidate.local { Duration::ZERO } else { self.remote };
-            let slow = candidate.hold > fastest * SLOW_FACTOR;
-            let excess = if slow { candidate.hold - fastest } else { Duration::ZERO };
+            let slow = candidate.occupancy > fastest * SLOW_FACTOR;
+            let excess = if slow { candidate.occupancy - fastest } else { Duration::ZERO };
             let cost = candidate.wait + self.cost.per_token * missing + remote + excess;
             let crowding = if need.cold { self.crowding(candidate) } else { 0 };
             (crowding, cost, candidate.load, !candidate.local)
--- a/src/core/dispatch/slots.rs
+++ b/src/core/dispatch/slots.rs
@@ -72,7 +72,7 @@
     /// Memory demand of its programs, in per mille of its memory.
     pub pressure: u16,
     /// Time that a call occupies a slot; zero if unknown.
-    pub hold: Duration,
+    pub occupancy: Duration,
 }
 
 impl ClassLoad {
@@ -94,7 +94,8 @@
             paying: class(ServiceClass::Paying),
             trial: class(ServiceClass::Trial),
             pressure: (pressure / loads.len().max(1)) as u16,
-            hold: loads.iter().map(|load| load.hold).sum::<Duration>() / loads.len().max(1) as u32,
+            occupancy: loads.iter().map(|load| load.occupancy).sum::<Duration>()
+                / loads.len().max(1) as u32,
         }
     }
 
@@ -141,17 +142,17 @@
     policy: Box<dyn QueuePolicy>,
     running: BTreeMap<PermitId, RunningSlot>,
     waiting: Vec<SlotRequest>,
-    mean_hold: Duration,
-    /// Until the first call ends, `mean_hold` is only a default.
-    measured: bool,
+    mean_occupancy: Duration,
+    /// Until the first call ends, `mean_occupancy` is only a default.
+    has_samples: bool,
 }
 
 /// One slot in this many may be reserved by trial calls.
 const KEPT_SLOTS_PART: usize = 20;
-const FIRST_MEAN_HOLD: Duration = Duration::from_secs(2);
-const MEAN_HOLD_WEIGHT: u32 = 8;
+const INITIAL_MEAN_OCCUPANCY: Duration = Duration::from_secs(2);
+const MEAN_OCCUPANCY_SAMPLES: u32 = 8;
 /// Shorter calls were refused by the engine and are no sample of its speed.
-const LEAST_HOLD: Duration = Duration::from_millis(5);
+const MIN_OCCUPANCY: Duration = Duration::from_millis(5);
 
 impl EngineSlots {
     pub fn new(slots: usize, memory: WorkingSet, policy: Box<dyn QueuePolicy>) -> Self {
@@ -162,8 +163,8 @@
             policy,
             running: BTreeMap::new(),
             waiting: Vec::new(),
-            mean_hold: FIRST_MEAN_HOLD,
-            measured: false,
+            mean_occupancy: INITIAL_MEAN_OCCUPANCY,
+            has_samples: false,
         }
     }
 
@@ -255,16 +256,16 @@
     pub fn finish(&mut self, permit: PermitId, now: Instant) {
         self.waiting.retain(|waiting| waiting.permit != permit);
         if let Some(slot) = self.running.remove(&permit) {
-            let held = now - slot.since;
-            if held < LEAST_HOLD {
+            let occupancy = now - slot.since;
+            if occupancy < MIN_OCCUPANCY {
                 return;
             }
-            if !self.measured {
-                self.mean_hold = held;
+            if !self.has_samples {
+                self.mean_occupancy = occupancy;
             }
-            let others = self.mean_hold * (MEAN_HOLD_WEIGHT - 1);
-            self.mean_hold = (others + held) / MEAN_HOLD_WEIGHT;
-            self.measured = true;
+            let others = self.mean_occupancy * (MEAN_OCCUPANCY_SAMPLES - 1);
+            self.mean_occupancy = (others + occupancy) / MEAN_OCCUPANCY_SAMPLES;
+            self.has_samples = true;
         }
     }
 
@@ -310,17 +311,17 @@
             paying: self.class_load(ServiceClass::Paying),
             trial: self.class_load(ServiceClass::Trial),
             pressure: self.memory.pressure(),
-            hold: self.hold(now),
+            occupancy: self.occupancy(now),
         }
     }
 
     /// The mean occupancy, or the mean age of running calls if greater, which detects a slow engine
     /// before its first slow call ends.
-    fn hold(&self, now: Instant) -> Duration {
+    fn occupancy(&self, now: Instant) -> Duration {
         let ages = self.running.values().map(|slot| now.saturating_duration_since(slot.since));
         let mean_age = ages.sum::<Duration>() / self.running.len().max(1) as u32;
-        let mean_hold = if self.measured { self.mean_hold } else { Duration::ZERO };
-        mean_hold.max(mean_age)
+        let mean_occupancy = if self.has_samples { self.mean_occupancy } else { Duration::ZERO };
+        mean_occupancy.max(mean_age)
     }
 
     /// Leaves out lower classes: paying calls overtake trial calls, so a queue of these must not
@@ -330,7 +331,7 @@
         let running = self.running.values().filter(|slot| slot.request.class <= class).count();
         let full = self.running.len() >= self.slots;
         let ahead = if full { waiting as u32 + 1 } else { 0 };
-        let wait = self.mean_hold * ahead / self.slots as u32;
+        let wait = self.mean_occupancy * ahead / self.slots as u32;
         ClassLoad { load: running + waiting, wait }
     }
 
--- a/src/node/engines/choice.rs
+++ b/src/node/engines/choice.rs
@@ -87,7 +87,7 @@
                 resident,
                 local: true,
                 pressure: load.pressure,
-                hold: load.hold,
+                occupancy: load.occupancy,
             };
         }
         let told = self.owner_load(desk.owners.get(&engine.id).map(|owner| &**owner));
@@ -101,7 +101,7 @@
             resident,
             local: false,
             pressure: told.pressure,
-            hold: told.hold(),
+            occupancy: told.hold(),
         }
     }
 
--- a/src/node/engines/desk.rs
+++ b/src/node/engines/desk.rs
@@ -109,7 +109,7 @@
             paying: per_mille(mean.paying),
             trial: per_mille(mean.trial),
             pressure: mean.pressure,
-            hold_millis: mean.hold.as_millis() as u32,
+            hold_millis: mean.occupancy.as_millis() as u32,
         }
     }
 
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -188,7 +188,7 @@
         resident: 0,
         local: true,
         pressure: 0,
-        hold: Duration::from_secs(2),
+        occupancy: Duration::from_secs(2),
     }
 }
 
@@ -215,9 +215,10 @@
 /// remote engines of unknown speed.
 #[test]
 fn slow_engines_are_avoided_and_unknown_ones_are_not_called_fast() {
-    let slow = EngineCandidate { hold: Duration::from_secs(20), ..candidate("slow") };
+    let slow = EngineCandidate { occupancy: Duration::from_secs(20), ..candidate("slow") };
     let slow = EngineCandidate { resident: 20_000, ..slow };
-    let unknown = EngineCandidate { hold: Duration::ZERO, local: false, ..candidate("unknown") };
+    let unknown =
+        EngineCandidate { occupancy: Duration::ZERO, local: false, ..candidate("unknown") };
     assert_eq!(&*choose(&[slow, candidate("other")], false), "other");
     assert_eq!(&*choose(&[unknown, candidate("known")], false), "known");
 }
