--- a/src/bench/policy/calls.rs
+++ b/src/bench/policy/calls.rs
@@ -240,7 +240,7 @@
         if let Some(queue) = self.queue_of(program) {
             self.permits.remove(&permit);
             let now = self.at(self.now);
-            self.queues[queue].finish(permit, now);
+            self.queues[queue].release(permit, now);
             self.pump(queue);
         }
     }
--- a/src/core/dispatch/slots.rs
+++ b/src/core/dispatch/slots.rs
@@ -253,7 +253,7 @@
     }
 
     /// Releases a slot or cancels a waiting request. Idempotent.
-    pub fn finish(&mut self, permit: PermitId, now: Instant) {
+    pub fn release(&mut self, permit: PermitId, now: Instant) {
         self.waiting.retain(|waiting| waiting.permit != permit);
         if let Some(slot) = self.running.remove(&permit) {
             let occupancy = now - slot.since;
--- a/src/node/engines/desk.rs
+++ b/src/node/engines/desk.rs
@@ -70,7 +70,7 @@
                 let waiter = self.waiters.remove(&(engine.clone(), permit));
                 let unheard = waiter.is_none_or(|waiter| waiter.send(reply.clone()).is_err());
                 if unheard && reply == PermitReply::Granted {
-                    slots.finish(permit, now);
+                    slots.release(permit, now);
                 }
             }
         }
--- a/src/node/engines/mod.rs
+++ b/src/node/engines/mod.rs
@@ -197,7 +197,7 @@
         let now = Instant::now();
         let mut desk = self.desk.borrow_mut();
         if let Some(slots) = desk.slots.get_mut(engine) {
-            slots.finish(permit, now);
+            slots.release(permit, now);
         }
         desk.advance(now);
     }
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -82,7 +82,7 @@
         let permit = granted(&slots.advance(now))[0];
         heavy_grants += u32::from(permit.is_multiple_of(2));
         now += HOLD;
-        slots.finish(permit, now);
+        slots.release(permit, now);
     }
     // Three quarters, give or take one round of four.
     assert!((146..=154).contains(&heavy_grants), "{heavy_grants} of 200");
@@ -103,7 +103,7 @@
         }
         assert!(!events.iter().any(|e| matches!(e, SlotEvent::Expired(0, _))), "it expired");
         now += HOLD;
-        slots.finish(granted(&events)[0], now);
+        slots.release(granted(&events)[0], now);
         slots.enqueue(paying(permit + 1_000_000, now));
     }
 }
@@ -156,7 +156,7 @@
     let revocation = slots.preempt(late, PREEMPT_AFTER).expect("a trial call is preempted");
     assert_eq!((revocation.permit, &*revocation.holder), (2, "i0"));
     assert_eq!(slots.preempt(late, PREEMPT_AFTER), None);
-    slots.finish(2, late);
+    slots.release(2, late);
     assert_eq!(granted(&slots.advance(late)), [4]);
 }
 
@@ -172,7 +172,7 @@
     slots.enqueue(new(trial(4, now)));
     slots.enqueue(SlotRequest { own_tokens: 4_000, ..paying(5, now) });
     assert_eq!(granted(&slots.advance(now)).into_iter().collect::<BTreeSet<_>>(), [1, 2, 5].into());
-    slots.finish(1, now);
+    slots.release(1, now);
     assert!(slots.advance(now).is_empty(), "its program may come back");
     slots.end_program(1);
     slots.end_program(5);
@@ -281,8 +281,8 @@
                 SlotStep::Pass { millis } => now += Duration::from_millis(millis),
                 SlotStep::Finish { permit } => {
                     // Twice, as a retry after a lost reply.
-                    slots.finish(permit, now);
-                    slots.finish(permit, now);
+                    slots.release(permit, now);
+                    slots.release(permit, now);
                     waiting.remove(&permit);
                     running.remove(&permit);
                 }
