--- a/src/core/dispatch/slots.rs
+++ b/src/core/dispatch/slots.rs
@@ -131,7 +131,7 @@
     since: Instant,
     revoked: bool,
     /// Exempt from preemption.
-    kept: bool,
+    reserved: bool,
 }
 
 /// Slots and queue of one engine.
@@ -148,7 +148,7 @@
 }
 
 /// One slot in this many may be reserved by trial calls.
-const KEPT_SLOTS_PART: usize = 20;
+const RESERVED_SLOTS_DIVISOR: usize = 20;
 const INITIAL_MEAN_OCCUPANCY: Duration = Duration::from_secs(2);
 const MEAN_OCCUPANCY_SAMPLES: u32 = 8;
 /// Shorter calls were refused by the engine and are no sample of its speed.
@@ -184,13 +184,13 @@
         while self.running.len() < self.slots {
             let Some(index) = self.policy.pick(&self.waiting, now) else { break };
             let next = self.waiting.swap_remove(index);
-            let kept = self.is_kept(&next);
+            let reserved = self.is_reserved(&next);
             self.policy.granted(&next);
             self.memory.insert(next.program, next.own_tokens.into(), now);
             events.push(SlotEvent::Granted(next.permit));
             self.running.insert(
                 next.permit,
-                RunningSlot { request: next, since: now, revoked: false, kept },
+                RunningSlot { request: next, since: now, revoked: false, reserved },
             );
         }
         self.waiting.extend(deferred);
@@ -225,12 +225,12 @@
     /// Whether a request that is granted now keeps its slot, whatever paying work waits.
     ///
     /// The grant in twenty that goes to trial work would otherwise be taken back at once, and no
-    /// trial call would end in a long paying surge. Only one slot in twenty is kept: trial calls
+    /// trial call would end in a long paying surge. Only one slot in twenty is reserved: trial calls
     /// may be so much longer than paying ones that they gather in the slots.
-    fn is_kept(&self, granted: &SlotRequest) -> bool {
+    fn is_reserved(&self, granted: &SlotRequest) -> bool {
         let passed = self.waiting.iter().any(|waiting| waiting.class < granted.class);
-        let kept = self.running.values().filter(|slot| slot.kept).count();
-        passed && kept < self.slots.div_ceil(KEPT_SLOTS_PART)
+        let reserved = self.running.values().filter(|slot| slot.reserved).count();
+        passed && reserved < self.slots.div_ceil(RESERVED_SLOTS_DIVISOR)
     }
 
     fn is_deferred(&self, request: &SlotRequest) -> bool {
@@ -299,8 +299,10 @@
             return None;
         }
         let trial = |slot: &RunningSlot| slot.request.class == ServiceClass::Trial;
-        let taken =
-            self.running.iter_mut().filter(|(_, slot)| trial(slot) && !slot.revoked && !slot.kept);
+        let taken = self
+            .running
+            .iter_mut()
+            .filter(|(_, slot)| trial(slot) && !slot.revoked && !slot.reserved);
         let (permit, slot) = taken.max_by_key(|(_, slot)| slot.since)?;
         slot.revoked = true;
         Some(SlotRevocation { permit: *permit, holder: slot.request.holder.clone() })
