--- a/src/bench/policy/setup.rs
+++ b/src/bench/policy/setup.rs
@@ -86,8 +86,8 @@
             Self::CacheAware { weight, remote_millis, crowded } => {
                 let cost = PrefillCost { per_token: PREFILL_PER_TOKEN * weight };
                 {
-                    let remote = Duration::from_millis(remote_millis);
-                    Box::new(CacheAwareChooser { cost, remote, crowded })
+                    let remote_cost = Duration::from_millis(remote_millis);
+                    Box::new(CacheAwareChooser { cost, remote_cost, pressure_threshold: crowded })
                 }
             }
         }
--- a/src/core/dispatch/choice.rs
+++ b/src/core/dispatch/choice.rs
@@ -50,14 +50,14 @@
 pub struct CacheAwareChooser {
     pub cost: PrefillCost,
     /// Added for engines of other instances, for messages and stale load.
-    pub remote: Duration,
+    pub remote_cost: Duration,
     /// In per mille; below it, memory pressure has no effect.
-    pub crowded: u16,
+    pub pressure_threshold: u16,
 }
 
 impl CacheAwareChooser {
-    fn crowding(&self, candidate: &EngineCandidate) -> u16 {
-        candidate.pressure.saturating_sub(self.crowded)
+    fn contention(&self, candidate: &EngineCandidate) -> u16 {
+        candidate.pressure.saturating_sub(self.pressure_threshold)
     }
 }
 
@@ -70,12 +70,12 @@
         let rank = |index: &usize| {
             let candidate = &candidates[*index];
             let missing = need.prompt.saturating_sub(candidate.resident) as u32;
-            let remote = if candidate.local { Duration::ZERO } else { self.remote };
+            let remote_cost = if candidate.local { Duration::ZERO } else { self.remote_cost };
             let slow = candidate.occupancy > fastest * SLOW_FACTOR;
             let excess = if slow { candidate.occupancy - fastest } else { Duration::ZERO };
-            let cost = candidate.wait + self.cost.per_token * missing + remote + excess;
-            let crowding = if need.cold { self.crowding(candidate) } else { 0 };
-            (crowding, cost, candidate.load, !candidate.local)
+            let cost = candidate.wait + self.cost.per_token * missing + remote_cost + excess;
+            let contention = if need.cold { self.contention(candidate) } else { 0 };
+            (contention, cost, candidate.load, !candidate.local)
         };
         (0..candidates.len()).min_by_key(rank)
     }
--- a/src/node/engines/choice.rs
+++ b/src/node/engines/choice.rs
@@ -44,7 +44,8 @@
             engines.iter().map(|engine| self.candidate(engine, context, model)).collect();
         let per_token = Duration::from_micros(model.prefill_micros_per_token.into());
         let cost = PrefillCost { per_token: per_token * PREFILL_WEIGHT };
-        let chooser = CacheAwareChooser { cost, remote: REMOTE_COST, crowded: CROWDED };
+        let chooser =
+            CacheAwareChooser { cost, remote_cost: REMOTE_COST, pressure_threshold: CROWDED };
         let need = EngineNeed { prompt: context.prompt_tokens(), cold: context.newcomer };
         let index = chooser.choose(&candidates, need)?;
         Some(engines.swap_remove(index))
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -194,8 +194,8 @@
 
 fn choose(candidates: &[EngineCandidate], cold: bool) -> Box<str> {
     let cost = PrefillCost { per_token: Duration::from_micros(50) };
-    let remote = Duration::from_millis(500);
-    let chooser = CacheAwareChooser { cost, remote, crowded: 500 };
+    let remote_cost = Duration::from_millis(500);
+    let chooser = CacheAwareChooser { cost, remote_cost, pressure_threshold: 500 };
     let index = chooser.choose(candidates, EngineNeed { prompt: 20_000, cold });
     candidates[index.expect("there are candidates")].engine.clone()
 }
