--- a/src/core/dispatch/policy.rs
+++ b/src/core/dispatch/policy.rs
@@ -13,7 +13,7 @@
     fn pick(&self, waiting: &[SlotRequest], now: Instant) -> Option<usize>;
 
     /// Called for every grant.
-    fn granted(&mut self, _request: &SlotRequest) {}
+    fn record_grant(&mut self, _request: &SlotRequest) {}
 }
 
 /// Orders by class, the workspace's weighted service and the program's attained service. Aging and
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 pub struct LeastAttainedService {
     /// Weighted service of each workspace.
-    shares: BTreeMap<WorkspaceId, f64>,
+    service: BTreeMap<WorkspaceId, f64>,
     /// Weighted service at which a new workspace starts.
     floor: f64,
     /// Since the last grant to trial work.
@@ -35,8 +35,8 @@
 const AGING_TOKENS_PER_SECOND: Tokens = 200;
 
 impl LeastAttainedService {
-    fn share(&self, workspace: &str) -> f64 {
-        self.shares.get(workspace).copied().unwrap_or(self.floor).max(self.floor)
+    fn service(&self, workspace: &str) -> f64 {
+        self.service.get(workspace).copied().unwrap_or(self.floor).max(self.floor)
     }
 }
 
@@ -46,25 +46,25 @@
         let rank = |index: &usize| {
             let request = &waiting[*index];
             let waited = now.saturating_duration_since(request.arrived);
-            let forgiven = waited.as_millis() as Tokens * AGING_TOKENS_PER_SECOND / 1000;
-            let share = (self.share(&request.workspace) * 1000.0) as u64;
-            let attained = request.attained.saturating_sub(forgiven);
+            let aging_credit = waited.as_millis() as Tokens * AGING_TOKENS_PER_SECOND / 1000;
+            let service = (self.service(&request.workspace) * 1000.0) as u64;
+            let attained = request.attained.saturating_sub(aging_credit);
             let after = (request.class == ServiceClass::Paying) == trial_turn;
-            (after, share, attained, request.arrived)
+            (after, service, attained, request.arrived)
         };
         (0..waiting.len()).min_by_key(rank)
     }
 
-    fn granted(&mut self, request: &SlotRequest) {
+    fn record_grant(&mut self, request: &SlotRequest) {
         self.paying_grants = match request.class {
             ServiceClass::Paying => self.paying_grants.saturating_add(1),
             ServiceClass::Trial => 0,
         };
-        let share = self.share(&request.workspace);
-        self.floor = self.floor.max(share.min(self.floor + 1.0));
+        let service = self.service(&request.workspace);
+        self.floor = self.floor.max(service.min(self.floor + 1.0));
         let cost = f64::from(request.tokens.max(1)) / f64::from(request.weight.max(1));
-        self.shares.insert(request.workspace.clone(), share + cost);
-        let lowest = self.shares.values().copied().fold(f64::INFINITY, f64::min);
+        self.service.insert(request.workspace.clone(), service + cost);
+        let lowest = self.service.values().copied().fold(f64::INFINITY, f64::min);
         self.floor = self.floor.max(lowest);
     }
 }
--- a/src/core/dispatch/slots.rs
+++ b/src/core/dispatch/slots.rs
@@ -185,7 +185,7 @@
             let Some(index) = self.policy.pick(&self.waiting, now) else { break };
             let next = self.waiting.swap_remove(index);
             let reserved = self.is_reserved(&next);
-            self.policy.granted(&next);
+            self.policy.record_grant(&next);
             self.memory.insert(next.program, next.own_tokens.into(), now);
             events.push(SlotEvent::Granted(next.permit));
             self.running.insert(
