--- a/src/core/dispatch/slots.rs
+++ b/src/core/dispatch/slots.rs
@@ -222,15 +222,13 @@
         deferred
     }
 
-    /// Whether a request that is granted now keeps its slot, whatever paying work waits.
-    ///
-    /// The grant in twenty that goes to trial work would otherwise be taken back at once, and no
-    /// trial call would end in a long paying surge. Only one slot in twenty is reserved: trial calls
-    /// may be so much longer than paying ones that they gather in the slots.
+    /// Whether a request granted now is exempt from preemption: if it overtakes paying work, it
+    /// would be preempted at once. The number of such slots is bounded, as long trial calls would
+    /// otherwise accumulate in them.
     fn is_reserved(&self, granted: &SlotRequest) -> bool {
-        let passed = self.waiting.iter().any(|waiting| waiting.class < granted.class);
+        let overtakes = self.waiting.iter().any(|waiting| waiting.class < granted.class);
         let reserved = self.running.values().filter(|slot| slot.reserved).count();
-        passed && reserved < self.slots.div_ceil(RESERVED_SLOTS_DIVISOR)
+        overtakes && reserved < self.slots.div_ceil(RESERVED_SLOTS_DIVISOR)
     }
 
     fn is_deferred(&self, request: &SlotRequest) -> bool {
@@ -299,11 +297,11 @@
             return None;
         }
         let trial = |slot: &RunningSlot| slot.request.class == ServiceClass::Trial;
-        let taken = self
+        let candidates = self
             .running
             .iter_mut()
             .filter(|(_, slot)| trial(slot) && !slot.revoked && !slot.reserved);
-        let (permit, slot) = taken.max_by_key(|(_, slot)| slot.since)?;
+        let (permit, slot) = candidates.max_by_key(|(_, slot)| slot.since)?;
         slot.revoked = true;
         Some(SlotRevocation { permit: *permit, holder: slot.request.holder.clone() })
     }
