--- a/tests/admission_gate.rs
+++ b/tests/admission_gate.rs
@@ -7,16 +7,16 @@
 
 const OBJECTIVE: Duration = Duration::from_millis(250);
 /// Callers leave when the first token takes longer.
-const PATIENCE_MS: f64 = 2_000.0;
-const TURNS: u32 = 4;
-const WORK_MS: f64 = 250.0;
-const PLACES: usize = 16;
+const CALLER_TIMEOUT_MS: f64 = 2_000.0;
+const TURNS_PER_PROGRAM: u32 = 4;
+const TURN_DURATION_MS: f64 = 250.0;
+const SLOTS: usize = 16;
 
 fn request(program: &str, priority: u8, now: Instant) -> AdmissionRequest<'_> {
     AdmissionRequest { service: "llm", program, priority, now }
 }
 
-fn share_let_in(gate: &mut AdmissionGate, priority: u8, now: Instant) -> f64 {
+fn admitted_fraction(gate: &mut AdmissionGate, priority: u8, now: Instant) -> f64 {
     let admitted = (0..400)
         .filter(|number| {
             let program = format!("p{number}");
@@ -26,7 +26,7 @@
     admitted as f64 / 400.0
 }
 
-async fn wait_for(gate: &mut AdmissionGate, millis: f64, seconds: u64) {
+async fn record_waits(gate: &mut AdmissionGate, millis: f64, seconds: u64) {
     for _ in 0..seconds * 14 {
         tokio::time::advance(Duration::from_millis(71)).await;
         gate.record_wait("llm", millis, OBJECTIVE, Instant::now());
@@ -35,40 +35,40 @@
 
 /// Guards against taking the base latency of slow engines for a queue.
 #[tokio::test(start_paused = true)]
-async fn slow_engines_alone_turn_nobody_away() {
+async fn slow_engines_without_a_queue_admit_all_programs() {
     let mut gate = AdmissionGate::default();
-    wait_for(&mut gate, 900.0, 10).await;
-    assert_eq!(share_let_in(&mut gate, 1, Instant::now()), 1.0);
+    record_waits(&mut gate, 900.0, 10).await;
+    assert_eq!(admitted_fraction(&mut gate, 1, Instant::now()), 1.0);
 }
 
 /// Guards against taking callers that leave early for a sign of overload, and against ignoring
 /// those that leave late.
 #[tokio::test(start_paused = true)]
-async fn callers_that_leave_early_are_no_overload() {
+async fn only_callers_that_leave_late_count_as_overload() {
     let mut gate = AdmissionGate::default();
-    wait_for(&mut gate, 900.0, 2).await;
+    record_waits(&mut gate, 900.0, 2).await;
     for _ in 0..20 {
         for _ in 0..10 {
             gate.record_abandoned("llm", 30.0, Instant::now());
         }
-        wait_for(&mut gate, 900.0, 1).await;
+        record_waits(&mut gate, 900.0, 1).await;
     }
-    assert_eq!(share_let_in(&mut gate, 1, Instant::now()), 1.0);
+    assert_eq!(admitted_fraction(&mut gate, 1, Instant::now()), 1.0);
     for _ in 0..60 {
         tokio::time::advance(Duration::from_millis(71)).await;
         gate.record_abandoned("llm", 3_000.0, Instant::now());
     }
-    assert!(share_let_in(&mut gate, 1, Instant::now()) < 0.5);
+    assert!(admitted_fraction(&mut gate, 1, Instant::now()) < 0.5);
 }
 
 /// Guards against rejecting urgent programs before others, starving a priority, and not recovering
 /// after the overload.
 #[tokio::test(start_paused = true)]
-async fn the_least_urgent_are_turned_away_first() {
+async fn least_urgent_programs_are_rejected_first() {
     let mut gate = AdmissionGate::default();
-    wait_for(&mut gate, 20.0, 5).await;
+    record_waits(&mut gate, 20.0, 5).await;
     let present = |gate: &mut AdmissionGate| {
-        (share_let_in(gate, 0, Instant::now()), share_let_in(gate, 1, Instant::now()))
+        (admitted_fraction(gate, 0, Instant::now()), admitted_fraction(gate, 1, Instant::now()))
     };
     assert_eq!(present(&mut gate), (1.0, 1.0));
     let mut cut = 0;
@@ -78,24 +78,24 @@
         let (urgent, other) = present(&mut gate);
         assert!(
             urgent == 1.0 || other < 0.2,
-            "the urgent are cut before the others: {urgent} {other}"
+            "urgent programs are cut before the others: {urgent} {other}"
         );
         cut += u32::from(urgent == 1.0 && other < 1.0);
     }
-    assert!(cut > 3, "the others alone are cut for a while");
-    wait_for(&mut gate, 1_200.0, 4).await;
+    assert!(cut > 3, "only the others are cut for a while");
+    record_waits(&mut gate, 1_200.0, 4).await;
     let (urgent, other) = present(&mut gate);
     assert!(urgent < 0.5 && other < 0.25 && other > 0.05, "{urgent} {other}");
-    wait_for(&mut gate, 20.0, 10).await;
+    record_waits(&mut gate, 20.0, 10).await;
     assert_eq!(present(&mut gate), (1.0, 1.0));
 }
 
 /// Guards against retries that raise a program's chance of admission.
 #[tokio::test(start_paused = true)]
-async fn all_attempts_of_a_program_get_one_answer() {
+async fn retries_under_equal_load_get_the_same_reply() {
     let mut gate = AdmissionGate::default();
-    wait_for(&mut gate, 20.0, 5).await;
-    wait_for(&mut gate, 1_200.0, 3).await;
+    record_waits(&mut gate, 20.0, 5).await;
+    record_waits(&mut gate, 1_200.0, 3).await;
     for number in 0..50 {
         let program = format!("p{number}");
         let first = gate.admit(&request(&program, 1, Instant::now()));
@@ -114,51 +114,55 @@
 fn goodput(overload: f64, gate: Option<&mut AdmissionGate>, start: Instant) -> f64 {
     const SECONDS: f64 = 40.0;
     let mut gate = gate;
-    let capacity = PLACES as f64 * 1_000.0 / (WORK_MS * f64::from(TURNS));
+    let capacity = SLOTS as f64 * 1_000.0 / (TURN_DURATION_MS * f64::from(TURNS_PER_PROGRAM));
     let pace_ms = 1_000.0 / (capacity * overload);
     // Time at which each slot is free, in milliseconds.
-    let mut free = [0.0_f64; PLACES];
+    let mut free = [0.0_f64; SLOTS];
+    // Turns left, by time in microseconds and program.
     let mut due: std::collections::BTreeMap<(u64, u64), u32> = std::collections::BTreeMap::new();
     for number in 0..(SECONDS * 1_000.0 / pace_ms) as u64 {
-        due.insert(((number as f64 * pace_ms * 1_000.0) as u64, number), TURNS);
+        due.insert(((number as f64 * pace_ms * 1_000.0) as u64, number), TURNS_PER_PROGRAM);
     }
     // Waits still to be recorded, by time in microseconds and program.
-    let mut words: std::collections::BTreeMap<(u64, u64), f64> = std::collections::BTreeMap::new();
-    let mut ended = 0_u32;
+    let mut waits: std::collections::BTreeMap<(u64, u64), f64> = std::collections::BTreeMap::new();
+    let mut completed = 0_u32;
     while let Some(((micros, program), left)) = due.pop_first() {
         let now_ms = micros as f64 / 1_000.0;
         let now = start + Duration::from_micros(micros);
         if let Some(gate) = gate.as_deref_mut() {
-            while words.first_key_value().is_some_and(|((at, _), _)| *at <= micros) {
-                let ((at, _), waited) = words.pop_first().expect("there is one");
+            while waits.first_key_value().is_some_and(|((at, _), _)| *at <= micros) {
+                let ((at, _), waited) = waits.pop_first().expect("there is one");
                 gate.record_wait("llm", waited, OBJECTIVE, start + Duration::from_micros(at));
             }
             let name = format!("p{program}");
-            let newcomer = left == TURNS;
-            if newcomer && gate.admit(&request(&name, 1, now)) != AdmissionReply::Admitted {
+            let first_turn = left == TURNS_PER_PROGRAM;
+            if first_turn && gate.admit(&request(&name, 1, now)) != AdmissionReply::Admitted {
                 continue;
             }
         }
-        let place = (0..PLACES).min_by(|a, b| free[*a].total_cmp(&free[*b])).expect("places");
-        let begins = free[place].max(now_ms);
-        free[place] = begins + WORK_MS;
+        let slot =
+            (0..SLOTS).min_by(|a, b| free[*a].total_cmp(&free[*b])).expect("there are slots");
+        let begins = free[slot].max(now_ms);
+        free[slot] = begins + TURN_DURATION_MS;
         let waited = begins - now_ms;
-        let heard = now_ms + waited.min(PATIENCE_MS);
-        words.insert(((heard * 1_000.0) as u64, program), waited.min(PATIENCE_MS));
-        if waited > PATIENCE_MS {
+        let recorded = now_ms + waited.min(CALLER_TIMEOUT_MS);
+        waits.insert(((recorded * 1_000.0) as u64, program), waited.min(CALLER_TIMEOUT_MS));
+        if waited > CALLER_TIMEOUT_MS {
             continue;
         }
         match left {
-            1 => ended += 1,
-            _ => drop(due.insert((((begins + WORK_MS) * 1_000.0) as u64, program), left - 1)),
+            1 => completed += 1,
+            _ => drop(
+                due.insert((((begins + TURN_DURATION_MS) * 1_000.0) as u64, program), left - 1),
+            ),
         }
     }
-    f64::from(ended) / SECONDS
+    f64::from(completed) / SECONDS
 }
 
 /// Guards against congestion collapse, where engines serve only callers that have left.
 #[tokio::test(start_paused = true)]
-async fn goodput_holds_at_twice_the_capacity() {
+async fn goodput_is_sustained_at_twice_the_capacity() {
     let start = Instant::now();
     let gated = |overload| goodput(overload, Some(&mut AdmissionGate::default()), start);
     let full = goodput(1.0, None, start);
