--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -20,7 +20,7 @@
 
 /// Guards against reordering of concurrent calls at several instances, and against gaps.
 #[test]
-fn calls_run_in_the_order_of_their_numbers() {
+fn concurrent_calls_run_in_order_of_their_numbers() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 1_000_000).await;
@@ -35,8 +35,8 @@
         for number in 1..=3 {
             recorder.insist(&cluster, request(number)).await;
         }
-        let far = outcome(cluster.node(0).submit(request(9)).await).await;
-        assert_eq!(far, refused(RefusalReason::WrongNumber { expected: 4 }));
+        let ahead = outcome(cluster.node(0).submit(request(9)).await).await;
+        assert_eq!(ahead, refused(RefusalReason::WrongNumber { expected: 4 }));
         recorder.check(&cluster).await;
     });
 }
@@ -44,7 +44,7 @@
 /// Guards against answering a call with the result of a different call that used the same request
 /// id.
 #[test]
-fn a_request_id_is_not_taken_for_another_call() {
+fn request_id_reused_for_a_different_call_is_refused() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 1_000_000).await;
@@ -73,7 +73,7 @@
 
 /// Guards against a call that runs for an ended program because the write of the end was slow.
 #[test]
-fn no_call_starts_while_a_program_ends() {
+fn call_is_refused_while_the_end_of_its_program_is_written() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 1_000_000).await;
@@ -86,7 +86,7 @@
             outcome(node.submit(booking(program, 1, "milk")).await).await
         };
         let (ended, late) = join(node.end_program(program), late).await;
-        ended.expect("it ends");
+        ended.expect("the program ends");
         assert_eq!(late, refused(RefusalReason::ProgramEnded));
         assert!(cluster.service.executions().is_empty());
     });
@@ -94,7 +94,7 @@
 
 /// Guards against a second program when a start is retried before the first attempt is durable.
 #[test]
-fn overlapping_starts_with_one_key_give_one_program() {
+fn concurrent_starts_with_the_same_key_return_the_same_program() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 1_000_000).await;
@@ -114,7 +114,7 @@
 
 /// Guards against reporting a forwarded request as not run when only the owner's reply was lost.
 #[test]
-fn a_lost_reply_of_the_owner_is_not_called_not_run() {
+fn lost_reply_of_the_owner_gives_an_unknown_outcome() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 1_000_000).await;
@@ -126,6 +126,6 @@
         assert_eq!(answer_text(&known), "done: milk");
         let ended = cluster.node(1).end_program(program).await;
         assert!(matches!(ended, Err(RequestFailure::Unknown(_))), "{ended:?}");
-        cluster.node(2).end_program(program).await.expect("it has ended already");
+        cluster.node(2).end_program(program).await.expect("the program has already ended");
     });
 }
