--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -12,8 +12,8 @@
 use proptest::test_runner::RngSeed;
 use tokio::time::Instant;
 
-const DEADLINE: Duration = Duration::from_secs(30);
-const HOLD: Duration = Duration::from_secs(1);
+const QUEUE_TIMEOUT: Duration = Duration::from_secs(30);
+const CALL_DURATION: Duration = Duration::from_secs(1);
 const PREEMPT_AFTER: Duration = Duration::from_millis(250);
 
 fn new_slots(slots: usize) -> EngineSlots {
@@ -35,7 +35,7 @@
         own_tokens: 100,
         cold: false,
         arrived: now,
-        deadline: now + DEADLINE,
+        deadline: now + QUEUE_TIMEOUT,
     }
 }
 
@@ -56,21 +56,21 @@
 }
 
 #[test]
-fn paying_goes_before_trial() {
+fn paying_call_is_granted_before_trial_call() {
     let (mut slots, now) = (new_slots(1), Instant::now());
     slots.enqueue(trial(1, now));
-    slots.enqueue(paying(2, now + HOLD));
-    assert_eq!(granted(&slots.advance(now + HOLD)), [2]);
+    slots.enqueue(paying(2, now + CALL_DURATION));
+    assert_eq!(granted(&slots.advance(now + CALL_DURATION)), [2]);
 }
 
 #[test]
-fn weights_are_respected() {
+fn grants_are_proportional_to_workspace_weights() {
     let (mut slots, mut now) = (new_slots(1), Instant::now());
     let mut heavy_grants = 0;
     for permit in 1..400u64 {
         let heavy = permit.is_multiple_of(2);
         let (workspace, weight) = if heavy { ("heavy", 300) } else { ("light", 100) };
-        let deadline = now + 1000 * HOLD;
+        let deadline = now + 1000 * CALL_DURATION;
         slots.enqueue(SlotRequest {
             workspace: workspace.into(),
             weight,
@@ -81,7 +81,7 @@
     for _ in 0..200 {
         let permit = granted(&slots.advance(now))[0];
         heavy_grants += u32::from(permit.is_multiple_of(2));
-        now += HOLD;
+        now += CALL_DURATION;
         slots.release(permit, now);
     }
     // Three quarters, give or take one round of four.
@@ -91,18 +91,21 @@
 /// Guards against starvation of trial calls under sustained paying load: none is granted, or each
 /// is preempted right after the grant.
 #[test]
-fn trial_work_does_not_starve() {
+fn trial_call_is_granted_under_sustained_paying_load() {
     let (mut slots, mut now) = (new_slots(1), Instant::now());
     slots.enqueue(trial(0, now));
     for permit in 1.. {
         slots.enqueue(paying(permit, now));
         let events = slots.advance(now);
         if granted(&events) == [0] {
-            assert_eq!(slots.preempt(now + HOLD, PREEMPT_AFTER), None);
+            assert_eq!(slots.preempt(now + CALL_DURATION, PREEMPT_AFTER), None);
             return;
         }
-        assert!(!events.iter().any(|e| matches!(e, SlotEvent::Expired(0, _))), "it expired");
-        now += HOLD;
+        assert!(
+            !events.iter().any(|e| matches!(e, SlotEvent::Expired(0, _))),
+            "the trial call expired"
+        );
+        now += CALL_DURATION;
         slots.release(granted(&events)[0], now);
         slots.enqueue(paying(permit + 1_000_000, now));
     }
@@ -110,7 +113,7 @@
 
 /// Guards against paying calls being diverted from their cached prefix by a queue of trial calls.
 #[test]
-fn a_queue_of_trial_calls_is_no_wait_to_paying_ones() {
+fn queued_trial_calls_do_not_count_as_load_for_paying_calls() {
     let (mut slots, now) = (new_slots(4), Instant::now());
     for permit in 0..44 {
         slots.enqueue(trial(permit, now));
@@ -126,7 +129,7 @@
 /// Guards against endless preemption: a slot freed for a call that waits for memory goes to the
 /// next trial call.
 #[test]
-fn nothing_is_preempted_for_a_newcomer_that_memory_holds_back() {
+fn deferred_cold_program_does_not_preempt() {
     let (mut slots, now) = (new_slots(2), Instant::now());
     slots.limit_cold_programs(ColdProgramLimits { paying: 1000, trial: 1000 });
     for permit in 0..3 {
@@ -134,7 +137,7 @@
     }
     slots.advance(now);
     slots.enqueue(SlotRequest { cold: true, ..paying(9, now) });
-    let later = now + HOLD;
+    let later = now + CALL_DURATION;
     assert!(slots.advance(later).is_empty());
     assert_eq!(slots.preempt(later, PREEMPT_AFTER), None);
     slots.end_program(0);
@@ -143,16 +146,16 @@
 
 /// Guards against a second preemption for the same paying call while the first is under way.
 #[test]
-fn a_waiting_call_preempts_one_trial_call_the_youngest() {
+fn waiting_paying_call_preempts_only_the_youngest_trial_call() {
     let (mut slots, now) = (new_slots(3), Instant::now());
     slots.enqueue(trial(1, now));
     slots.advance(now);
     slots.enqueue(trial(2, now));
     slots.enqueue(paying(3, now));
-    slots.advance(now + HOLD);
-    slots.enqueue(paying(4, now + HOLD));
-    assert_eq!(slots.preempt(now + HOLD, PREEMPT_AFTER), None);
-    let late = now + HOLD + PREEMPT_AFTER;
+    slots.advance(now + CALL_DURATION);
+    slots.enqueue(paying(4, now + CALL_DURATION));
+    assert_eq!(slots.preempt(now + CALL_DURATION, PREEMPT_AFTER), None);
+    let late = now + CALL_DURATION + PREEMPT_AFTER;
     let revocation = slots.preempt(late, PREEMPT_AFTER).expect("a trial call is preempted");
     assert_eq!((revocation.permit, &*revocation.holder), (2, "i0"));
     assert_eq!(slots.preempt(late, PREEMPT_AFTER), None);
@@ -162,7 +165,7 @@
 
 /// Guards against cache thrashing, where each new program evicts the prefix of a paused one.
 #[test]
-fn newcomers_wait_until_memory_has_room() {
+fn cold_programs_wait_for_free_memory() {
     let (mut slots, now) = (new_slots(8), Instant::now());
     slots.limit_cold_programs(ColdProgramLimits { paying: 1000, trial: 500 });
     let new = |request| SlotRequest { cold: true, own_tokens: 4_000, ..request };
@@ -173,7 +176,7 @@
     slots.enqueue(SlotRequest { own_tokens: 4_000, ..paying(5, now) });
     assert_eq!(granted(&slots.advance(now)).into_iter().collect::<BTreeSet<_>>(), [1, 2, 5].into());
     slots.release(1, now);
-    assert!(slots.advance(now).is_empty(), "its program may come back");
+    assert!(slots.advance(now).is_empty(), "the program may still return");
     slots.end_program(1);
     slots.end_program(5);
     assert_eq!(granted(&slots.advance(now)), [3]);
@@ -201,7 +204,7 @@
 }
 
 #[test]
-fn calls_return_to_the_holder_unless_waiting_costs_more() {
+fn call_returns_to_its_cached_prefix_unless_the_wait_costs_more() {
     let holder = |millis| EngineCandidate {
         resident: 20_000,
         wait: Duration::from_millis(millis),
@@ -214,7 +217,7 @@
 /// Guards against calls sent to an engine whose slowness shows in no queue, and against preferring
 /// remote engines of unknown speed.
 #[test]
-fn slow_engines_are_avoided_and_unknown_ones_are_not_called_fast() {
+fn slow_engine_is_avoided_and_unknown_speed_is_not_preferred() {
     let slow = EngineCandidate { occupancy: Duration::from_secs(20), ..candidate("slow") };
     let slow = EngineCandidate { resident: 20_000, ..slow };
     let unknown =
@@ -224,19 +227,19 @@
 }
 
 #[test]
-fn newcomers_go_where_memory_is_left() {
+fn cold_program_goes_to_the_engine_with_free_memory() {
     let full = EngineCandidate { resident: 8_000, pressure: 900, ..candidate("full") };
-    let room = EngineCandidate { pressure: 600, ..candidate("room") };
-    assert_eq!(&*choose(&[full.clone(), room.clone()], true), "room");
-    assert_eq!(&*choose(&[full, room], false), "full");
+    let free = EngineCandidate { pressure: 600, ..candidate("free") };
+    assert_eq!(&*choose(&[full.clone(), free.clone()], true), "free");
+    assert_eq!(&*choose(&[full, free], false), "full");
 }
 
 #[derive(Debug, Clone)]
 enum SlotStep {
     Enqueue { paying: bool, holder: u8, wait_millis: u64 },
-    Pass { millis: u64 },
-    Finish { permit: u64 },
-    HolderDies { holder: u8 },
+    Advance { millis: u64 },
+    Release { permit: u64 },
+    DropHolder { holder: u8 },
 }
 
 fn slot_step() -> impl Strategy<Value = SlotStep> {
@@ -244,9 +247,9 @@
         4 => (any::<bool>(), 0..3u8, 100..3_000u64).prop_map(|(paying, holder, wait_millis)| {
             SlotStep::Enqueue { paying, holder, wait_millis }
         }),
-        3 => (1..1_000u64).prop_map(|millis| SlotStep::Pass { millis }),
-        3 => (0..60u64).prop_map(|permit| SlotStep::Finish { permit }),
-        1 => (0..3u8).prop_map(|holder| SlotStep::HolderDies { holder }),
+        3 => (1..1_000u64).prop_map(|millis| SlotStep::Advance { millis }),
+        3 => (0..60u64).prop_map(|permit| SlotStep::Release { permit }),
+        1 => (0..3u8).prop_map(|holder| SlotStep::DropHolder { holder }),
     ]
 }
 
@@ -259,7 +262,7 @@
     })]
 
     #[test]
-    fn slots_keep_their_promises(steps in prop::collection::vec(slot_step(), 1..120)) {
+    fn slot_invariants_hold_for_random_steps(steps in prop::collection::vec(slot_step(), 1..120)) {
         let (mut slots, mut now) = (new_slots(3), Instant::now());
         let mut waiting: BTreeMap<u64, SlotRequest> = BTreeMap::new();
         let mut running: BTreeMap<u64, SlotRequest> = BTreeMap::new();
@@ -278,15 +281,15 @@
                     waiting.insert(next, request);
                     next += 1;
                 }
-                SlotStep::Pass { millis } => now += Duration::from_millis(millis),
-                SlotStep::Finish { permit } => {
+                SlotStep::Advance { millis } => now += Duration::from_millis(millis),
+                SlotStep::Release { permit } => {
                     // Twice, as a retry after a lost reply.
                     slots.release(permit, now);
                     slots.release(permit, now);
                     waiting.remove(&permit);
                     running.remove(&permit);
                 }
-                SlotStep::HolderDies { holder } => {
+                SlotStep::DropHolder { holder } => {
                     let holder: Box<str> = format!("i{holder}").into();
                     slots.drop_holder(&holder);
                     waiting.retain(|_, request| request.holder != holder);
@@ -296,22 +299,22 @@
             for event in slots.advance(now) {
                 match event {
                     SlotEvent::Granted(permit) => {
-                        let request = waiting.remove(&permit).expect("only what waits is granted");
+                        let request = waiting.remove(&permit).expect("granted request was waiting");
                         prop_assert!(request.deadline > now);
-                        let passed = waiting.values().any(|other| {
+                        let overtakes = waiting.values().any(|other| {
                             other.class == ServiceClass::Paying && other.deadline > now
                         });
                         match request.class {
                             ServiceClass::Paying => since_trial += 1,
                             ServiceClass::Trial => {
-                                prop_assert!(!passed || since_trial >= 19, "paying was passed");
+                                prop_assert!(!overtakes || since_trial >= 19, "trial call overtook a paying call");
                                 since_trial = 0;
                             }
                         }
                         running.insert(permit, request);
                     }
                     SlotEvent::Expired(permit, class) => {
-                        let request = waiting.remove(&permit).expect("only what waits expires");
+                        let request = waiting.remove(&permit).expect("expired request was waiting");
                         prop_assert!(request.deadline <= now);
                         prop_assert_eq!(request.class, class);
                     }
@@ -320,7 +323,7 @@
             prop_assert!(running.len() <= 3);
             prop_assert_eq!(slots.running(), running.len());
             prop_assert_eq!(slots.waiting(), waiting.len());
-            prop_assert!(waiting.is_empty() || running.len() == 3, "a slot stays free");
+            prop_assert!(waiting.is_empty() || running.len() == 3, "free slot while requests wait");
         }
     }
 }
