--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -9,7 +9,7 @@
 use merlinsaddle::core::dispatch::ServiceClass;
 
 /// Divisor of the engines and the duration of a workload.
-const PARTS: u32 = 6;
+const SCALE_DIVISOR: u32 = 6;
 const SEED: u64 = 3;
 
 fn run(setup: &PolicySetup, profile: &LoadProfile) -> RunReport {
@@ -37,16 +37,16 @@
 }
 
 #[test]
-fn equal_seeds_give_equal_reports() {
-    let profile = LoadProfile::sarhad().scaled(PARTS);
+fn equal_seeds_produce_equal_reports() {
+    let profile = LoadProfile::sarhad().scaled(SCALE_DIVISOR);
     let setup = PolicySetup::chosen();
     assert_eq!(run(&setup, &profile), run(&setup, &profile));
 }
 
 #[test]
-fn the_chosen_policy_keeps_its_figures() {
-    let sarhad = LoadProfile::sarhad().scaled(PARTS);
-    let register = LoadProfile::register().scaled(PARTS);
+fn production_policy_matches_reference_results() {
+    let sarhad = LoadProfile::sarhad().scaled(SCALE_DIVISOR);
+    let register = LoadProfile::register().scaled(SCALE_DIVISOR);
     let chosen = PolicySetup::chosen();
     assert_snapshot!(summary(&run(&chosen, &sarhad)), @"programs=116 paying_p95_ms=35809 trial_p95_ms=36637 prompt=2339492 recomputed=59323 refusals=0 preemptions=10 unfinished=0");
     assert_snapshot!(summary(&run(&chosen, &register)), @"programs=16 paying_p95_ms=462678 trial_p95_ms=0 prompt=6075508 recomputed=32000 refusals=0 preemptions=0 unfinished=0");
@@ -54,7 +54,7 @@
 
 /// Guards against a surge of trial calls that delays paying programs.
 #[test]
-fn a_trial_surge_leaves_paying_programs_alone() {
+fn trial_surge_does_not_delay_paying_programs() {
     let surge = LoadProfile::sarhad().scaled(2);
     let paying = |sample: &ProgramSample| {
         sample.class == ServiceClass::Paying && surge.surge.contains(&sample.started)
