--- a/tests/preemption.rs
+++ b/tests/preemption.rs
@@ -15,14 +15,14 @@
 
 /// Fills the slots of all engines.
 const TRIAL_CALLS: usize = 12;
-const ANSWER: u32 = 2_000;
+const ANSWER_TOKENS: u32 = 2_000;
 /// Longer than it takes to return idle budget grants.
-const REACTION: Duration = Duration::from_secs(60);
+const GRANT_RETURN_DELAY: Duration = Duration::from_secs(60);
 const BUDGET: Tokens = 1_000_000;
 
 fn long_call(program: ProgramId) -> CallRequest {
     CallRequest {
-        target: CallTarget::Model { max_tokens: ANSWER },
+        target: CallTarget::Model { max_tokens: ANSWER_TOKENS },
         deadline: Some(Duration::from_secs(300)),
         ..model_call(program, 1, "long")
     }
@@ -37,9 +37,9 @@
 /// Guards against paying calls that wait for long trial calls, and against a preempted call that
 /// loses part of its answer or is billed wrongly.
 #[rstest]
-#[case::by_the_owner_of_the_engines(1)]
-#[case::by_another_instance(3)]
-fn a_trial_call_gives_way_and_resumes(#[case] instances: usize) {
+#[case::on_the_owner_of_the_engines(1)]
+#[case::on_another_instance(3)]
+fn preempted_trial_call_resumes_and_completes(#[case] instances: usize) {
     run_paused(async move {
         let cluster = TestCluster::start(instances).await;
         cluster.workspace("pays", ServiceClass::Paying, BUDGET).await;
@@ -47,22 +47,30 @@
         let mut trials = Vec::new();
         for _ in 0..TRIAL_CALLS {
             let program = cluster.start_program(0, "tries").await;
-            let call = cluster.node(0).submit(long_call(program)).await.expect("it is admitted");
+            let call = cluster
+                .node(0)
+                .submit(long_call(program))
+                .await
+                .expect("the trial call is admitted");
             trials.push(call);
         }
         let program = cluster.start_program(0, "pays").await;
         sleep(Duration::from_secs(1)).await;
-        let asked = Instant::now();
+        let submitted = Instant::now();
         let answer = outcome(cluster.node(0).submit(model_call(program, 1, "salt?")).await).await;
         answer_text(&answer);
-        assert!(asked.elapsed() < Duration::from_secs(1), "it took {:?}", asked.elapsed());
+        assert!(
+            submitted.elapsed() < Duration::from_secs(1),
+            "the paying call took {:?}",
+            submitted.elapsed()
+        );
         assert_eq!(preempted(&cluster), 1);
         let prompt = ["You are a helpful agent.".into(), "long".into()];
-        let expected = expected_answer(&prompt, ANSWER).concat();
+        let expected = expected_answer(&prompt, ANSWER_TOKENS).concat();
         for trial in trials {
             assert_eq!(answer_text(&trial.wait().await), expected);
         }
-        sleep(REACTION).await;
+        sleep(GRANT_RETURN_DELAY).await;
         let bills = cluster.engines.iter().map(|engine| engine.billed());
         let billed: Tokens = bills.map(|bill| bill.get("tries").copied().unwrap_or(0)).sum();
         let row = cluster.platform.peek("budget/tries").expect("the workspace has a budget");
