--- a/src/bench/policy/placing.rs
+++ b/src/bench/policy/placing.rs
@@ -25,7 +25,7 @@
         let input = self.load.programs[program].calls[run.step].input;
         let prompt = run.context + Tokens::from(input);
         let newcomer = run.attained == 0 && run.parent.is_none();
-        let need = EngineNeed { prompt, newcomer };
+        let need = EngineNeed { prompt, cold: newcomer };
         let index = self.chooser.choose(&candidates, need).expect("there are engines");
         engines[index]
     }
@@ -69,7 +69,7 @@
             resident: self.residency[home].resident(id, program as u64, &shared),
             local,
             pressure: load.pressure,
-            hold: if self.setup.watch_pace { load.hold } else { Duration::ZERO },
+            occupancy: if self.setup.watch_pace { load.occupancy } else { Duration::ZERO },
         }
     }
 
--- a/src/core/dispatch/mod.rs
+++ b/src/core/dispatch/mod.rs
@@ -1,15 +1,15 @@
-//! Who may use an engine next, and which engine a call should go to.
+//! Places calls on engines and orders the engines' queues.
 
 mod choice;
 mod policy;
 mod slots;
 
 pub use choice::{
-    CacheAwareChooser, EngineCandidate, EngineChooser, EngineNeed, LeastLoaded, PrefillCost,
-    StickyHolder,
+    CacheAwareChooser, EngineCandidate, EngineChooser, EngineNeed, LeastLoadedChooser, PrefillCost,
+    StickyChooser,
 };
-pub use policy::{FirstCome, LeastAttained, PerCall, QueuePolicy};
+pub use policy::{FirstComeFirstServed, LeastAttainedService, QueuePolicy, ShortestCallFirst};
 pub use slots::{
-    ClassLoad, EngineLoad, EngineSlots, NewcomerBounds, ServiceClass, SlotEvent, SlotRequest,
+    ClassLoad, ColdProgramLimits, EngineLoad, EngineSlots, ServiceClass, SlotEvent, SlotRequest,
     SlotRevocation,
 };
