--- a/src/bench/cores.rs
+++ b/src/bench/cores.rs
@@ -12,7 +12,7 @@
 use crate::core::config::{ChangeBody, ConfigChange, ConfigView, WorkspaceSpec};
 use crate::core::dispatch::{EngineSlots, LeastAttained, ServiceClass, SlotRequest};
 use crate::core::history::{JournalBatch, JournalRecord, ProgramBook, TurnRecord};
-use crate::core::ids::{InstanceId, ProgramId, Tokens, mint_program};
+use crate::core::ids::{InstanceId, ProgramId, Tokens, compose_program_id};
 use crate::core::outcome::{CallAnswer, CallOutcome, TokenUsage};
 use crate::core::ownership::{ShardOwner, ShardTable, assign_engines, assign_shards};
 use crate::core::timeline::CausalStamp;
@@ -118,7 +118,7 @@
 }
 
 fn program_id(index: usize) -> ProgramId {
-    mint_program((index % 1024) as u16, 1, index as u64)
+    compose_program_id((index % 1024) as u16, 1, index as u64)
 }
 
 fn started(index: usize) -> JournalRecord {
--- a/src/core/history/book.rs
+++ b/src/core/history/book.rs
@@ -4,7 +4,7 @@
 
 use super::program::ProgramRecord;
 use super::record::JournalRecord;
-use crate::core::ids::{ProgramId, ShardId, mint_program, shard_of};
+use crate::core::ids::{ProgramId, ShardId, compose_program_id, shard_of};
 
 /// The programs of the shards this instance owns, in id order and so grouped by shard.
 #[derive(Debug, Default)]
@@ -70,7 +70,7 @@
 
     /// The programs of one shard.
     pub fn shard(&self, shard: ShardId) -> impl Iterator<Item = &ProgramRecord> {
-        let first = mint_program(shard, 0, 0);
+        let first = compose_program_id(shard, 0, 0);
         self.programs
             .range(first..)
             .map(|(_, program)| program)
--- a/src/core/ids.rs
+++ b/src/core/ids.rs
@@ -36,10 +36,8 @@
 const COUNTER_MASK: u64 = (1 << COUNTER_BITS) - 1;
 const INCARNATION_MASK: u64 = (1 << INCARNATION_BITS) - 1;
 
-/// Builds a program id that no other incarnation or counter value yields.
-///
-/// 24 bits of incarnations last 35 years at 1,300 starts a day.
-pub fn mint_program(shard: ShardId, incarnation: Incarnation, counter: u64) -> ProgramId {
+/// Packs the parts of a program id. Ids are unique while incarnation and counter fit in 24 bits.
+pub fn compose_program_id(shard: ShardId, incarnation: Incarnation, counter: u64) -> ProgramId {
     let shard_part = u64::from(shard) << (COUNTER_BITS + INCARNATION_BITS);
     let incarnation_part = (incarnation & INCARNATION_MASK) << COUNTER_BITS;
     shard_part | incarnation_part | (counter & COUNTER_MASK)
--- a/src/node/programs.rs
+++ b/src/node/programs.rs
@@ -12,7 +12,7 @@
 use super::peers::{PeerError, StartRequest};
 use crate::core::history::{EndReason, JournalRecord, ProgramEnd, ProgramRecord, TurnRecord};
 use crate::core::ids::{
-    ProgramId, ShardId, Tokens, WorkspaceId, mint_program, program_text, shard_of,
+    ProgramId, ShardId, Tokens, WorkspaceId, compose_program_id, program_text, shard_of,
 };
 use crate::core::outcome::{CallRefusal, RefusalReason, RequestFailure};
 use crate::core::ownership::ShardPhase;
@@ -146,7 +146,7 @@
     fn mint(&self, shard: ShardId) -> ProgramId {
         let counter = self.program_counter.get();
         self.program_counter.set(counter + 1);
-        mint_program(shard, self.incarnation(), counter)
+        compose_program_id(shard, self.incarnation(), counter)
     }
 
     fn note_start(&self, program: ProgramId) {
