--- a/src/core/ids.rs
+++ b/src/core/ids.rs
@@ -48,20 +48,18 @@
     (program >> (COUNTER_BITS + INCARNATION_BITS)) as ShardId
 }
 
-/// The form of a program id outside the process: 16 hexadecimal digits.
-pub fn program_text(program: ProgramId) -> Box<str> {
+/// The external form of a program id: 16 hexadecimal digits.
+pub fn format_program_id(program: ProgramId) -> Box<str> {
     format!("{program:016x}").into()
 }
 
-/// Reads what [`program_text`] wrote.
-pub fn parse_program(text: &str) -> Result<ProgramId, ParseIdError> {
+pub fn parse_program_id(text: &str) -> Result<ProgramId, ParseProgramIdError> {
     let parsed = u64::from_str_radix(text, 16).ok().filter(|_| text.len() == 16);
-    parsed.ok_or_else(|| ParseIdError { text: text.into() })
+    parsed.ok_or_else(|| ParseProgramIdError { text: text.into() })
 }
 
-/// A text that is no program id.
 #[derive(Debug, Clone, PartialEq, Display, Error)]
 #[display("'{text}' is not a program id: 16 hexadecimal digits are expected")]
-pub struct ParseIdError {
+pub struct ParseProgramIdError {
     text: Box<str>,
 }
--- a/src/node/callers/routes.rs
+++ b/src/node/callers/routes.rs
@@ -12,7 +12,7 @@
 
 use super::body::{AddressesBody, CallBody, EndedBody, RefusalBody, StartBody, StartedBody};
 use crate::core::history::EndReason;
-use crate::core::ids::{CallNumber, ProgramId, parse_program, program_text};
+use crate::core::ids::{CallNumber, ProgramId, format_program_id, parse_program_id};
 use crate::core::outcome::{CallOutcome, CallRefusal, RefusalReason, RequestFailure};
 use crate::node::calls::{CallEvent, LiveCall};
 use crate::node::instance::Node;
@@ -85,7 +85,7 @@
         start_key: body.start_key,
         parent,
     };
-    let program = program_text(node.start_program(start).await?);
+    let program = format_program_id(node.start_program(start).await?);
     let address = node.settings.http_address.clone();
     Ok(json_response(StatusCode::CREATED, &StartedBody { program, address }))
 }
@@ -234,7 +234,7 @@
 }
 
 fn program_id(text: &str) -> Result<ProgramId, CallRefusal> {
-    parse_program(text).map_err(|error| malformed(&error.to_string()))
+    parse_program_id(text).map_err(|error| malformed(&error.to_string()))
 }
 
 fn malformed(message: &str) -> CallRefusal {
--- a/src/node/instance.rs
+++ b/src/node/instance.rs
@@ -27,7 +27,7 @@
 use crate::core::config::ConfigView;
 use crate::core::history::ProgramBook;
 use crate::core::ids::{
-    CallNumber, Incarnation, InstanceId, ProgramId, ShardId, Tokens, program_text,
+    CallNumber, Incarnation, InstanceId, ProgramId, ShardId, Tokens, format_program_id,
 };
 use crate::core::members::{MemberInfo, MemberLoad, MemberSettings, MemberState, MemberTable};
 use crate::core::outcome::{CallOutcome, UnknownCall};
@@ -412,7 +412,7 @@
 
 impl EventBuilder<'_> {
     pub(crate) fn program(mut self, program: ProgramId) -> Self {
-        self.event.program = program_text(program);
+        self.event.program = format_program_id(program);
         self
     }
 
--- a/src/node/operators/server.rs
+++ b/src/node/operators/server.rs
@@ -10,7 +10,7 @@
     write_event, write_workspace,
 };
 use crate::core::config::ChangeBody;
-use crate::core::ids::{ConfigVersion, parse_program, program_text};
+use crate::core::ids::{ConfigVersion, format_program_id, parse_program_id};
 use crate::core::outcome::{CallRefusal, RequestFailure};
 use crate::node::config_sync::ChangeError;
 use crate::node::instance::Node;
@@ -156,7 +156,7 @@
             parent: None,
         };
         match self.node.start_program(request).await {
-            Ok(program) => results.get().set_id(&*program_text(program)),
+            Ok(program) => results.get().set_id(&*format_program_id(program)),
             Err(failure) => results.get().set_error(&*failure_text(&failure)),
         }
         Ok(())
@@ -188,7 +188,7 @@
         mut results: operator::ShowProgramResults,
     ) -> Result<(), capnp::Error> {
         let id = text(params.get()?.get_id()?)?;
-        let program = match parse_program(&id) {
+        let program = match parse_program_id(&id) {
             Ok(program) => program,
             Err(error) => {
                 results.get().set_error(error.to_string());
@@ -208,7 +208,7 @@
         mut results: operator::EndProgramResults,
     ) -> Result<(), capnp::Error> {
         let id = text(params.get()?.get_id()?)?;
-        let program = match parse_program(&id) {
+        let program = match parse_program_id(&id) {
             Ok(program) => program,
             Err(error) => {
                 results.get().set_error(error.to_string());
--- a/src/node/peers/network.rs
+++ b/src/node/peers/network.rs
@@ -16,7 +16,7 @@
 use super::codec::{encode_gossip, read_stamp, write_permit, write_stamp};
 use super::{PeerError, PeerNetwork, PermitReply, PermitRequest};
 use crate::core::config::ConfigChange;
-use crate::core::ids::{CallNumber, ConfigVersion, PermitId, ProgramId, ShardId, program_text};
+use crate::core::ids::{CallNumber, ConfigVersion, PermitId, ProgramId, ShardId, format_program_id};
 use crate::core::members::{GossipMessage, MemberInfo};
 use crate::core::outcome::{CallOutcome, CallRefusal, UnknownCall};
 use crate::core::timeline::CausalStamp;
@@ -169,7 +169,7 @@
         method: Method,
         program: ProgramId,
     ) -> Result<Result<Bytes, CallRefusal>, PeerError> {
-        let path = format!("/v1/programs/{}", program_text(program));
+        let path = format!("/v1/programs/{}", format_program_id(program));
         let empty = Bytes::new();
         let limit = CALL_TIMEOUT;
         let sent = self.http.exchange_once(method, &to.http_address, &path, empty, true, limit);
@@ -401,7 +401,7 @@
         request: CallRequest,
     ) -> Result<Result<Rc<LiveCall>, CallRefusal>, PeerError> {
         let body = serde_json::to_vec(&CallBody::from_request(&request)).expect("calls serialize");
-        let path = format!("/v1/programs/{}/calls", program_text(request.program));
+        let path = format!("/v1/programs/{}/calls", format_program_id(request.program));
         self.open_stream(to, Method::POST, &path, body.into(), request.number).await
     }
 
@@ -411,7 +411,7 @@
         program: ProgramId,
         number: CallNumber,
     ) -> Result<Result<Rc<LiveCall>, CallRefusal>, PeerError> {
-        let path = format!("/v1/programs/{}/calls/{number}", program_text(program));
+        let path = format!("/v1/programs/{}/calls/{number}", format_program_id(program));
         self.open_stream(to, Method::GET, &path, Bytes::new(), number).await
     }
 
--- a/src/node/programs.rs
+++ b/src/node/programs.rs
@@ -12,7 +12,7 @@
 use super::peers::{PeerError, StartRequest};
 use crate::core::history::{EndReason, JournalRecord, ProgramEnd, ProgramRecord, TurnRecord};
 use crate::core::ids::{
-    ProgramId, ShardId, Tokens, WorkspaceId, compose_program_id, program_text, shard_of,
+    ProgramId, ShardId, Tokens, WorkspaceId, compose_program_id, format_program_id, shard_of,
 };
 use crate::core::outcome::{CallRefusal, RefusalReason, RequestFailure};
 use crate::core::ownership::ShardPhase;
@@ -262,7 +262,7 @@
 
     fn view(&self, record: &ProgramRecord) -> ProgramView {
         ProgramView {
-            program: program_text(record.id),
+            program: format_program_id(record.id),
             workspace: record.workspace.clone(),
             definition: record.definition.clone(),
             ended: record.ended.map(|end| end.reason.to_string().into()),
