--- a/src/core/ids.rs
+++ b/src/core/ids.rs
@@ -1,34 +1,30 @@
-//! Identifiers and the units they are counted in.
+//! Identifiers and counters shared by all modules.
 
 use derive_more::{Display, Error};
 
-/// Name of an instance, from its settings.
+/// Name of an instance, as set in its configuration.
 pub type InstanceId = Box<str>;
-/// One run of an instance; rises with every start of any instance and is never used twice.
+/// Number of one run of an instance; increases with every start of any instance, never reused.
 pub type Incarnation = u64;
 /// Index of a shard, below the `shards` setting.
 pub type ShardId = u16;
-/// Shard (16 bits), minting incarnation (24 bits) and a counter (24 bits).
+/// Shard (16 bits), allocating incarnation (24 bits) and a counter (24 bits).
 pub type ProgramId = u64;
 /// Position of a call in its program, from 1.
 pub type CallNumber = u32;
-/// The caller's name for one call; the same id again means the same call.
+/// Idempotency key of a call, chosen by the caller.
 pub type RequestId = Box<str>;
-/// What a call goes to: `model`, or a service's name after `service/`.
+/// Target of a call: `model`, or `service/` followed by the name of a service.
 pub type TargetName = Box<str>;
-/// Name of an object in the platform's object store.
 pub type ObjectName = Box<str>;
-/// Name of a workspace.
 pub type WorkspaceId = Box<str>;
-/// Name of an engine or a plain service.
 pub type UpstreamId = Box<str>;
-/// Name of a program definition.
 pub type DefinitionName = Box<str>;
 /// Prompt and generated tokens.
 pub type Tokens = u64;
-/// Number of a configuration change; 0 before the first.
+/// Number of a configuration change; 0 before the first one.
 pub type ConfigVersion = u64;
-/// A slot on an engine, as its owner numbers it.
+/// Permit to run one request on an engine, numbered by the engine's owner.
 pub type PermitId = u64;
 
 const COUNTER_BITS: u32 = 24;
@@ -43,7 +39,7 @@
     shard_part | incarnation_part | (counter & COUNTER_MASK)
 }
 
-/// The shard a program belongs to for all its life.
+/// The shard of a program, which never changes.
 pub fn shard_of(program: ProgramId) -> ShardId {
     (program >> (COUNTER_BITS + INCARNATION_BITS)) as ShardId
 }
