--- a/src/cmd/timeline.rs
+++ b/src/cmd/timeline.rs
@@ -6,7 +6,7 @@
 use super::table::print_json;
 use super::target::TargetArgs;
 use super::{CmdError, CmdResult, block_on};
-use crate::core::timeline::{LogLine, TimelineEvent, merge_events, tell_story};
+use crate::core::timeline::{LogLine, TimelineEvent, merge_events, select_timeline};
 use crate::node::operators::{ClientError, OperatorClient};
 
 /// Show what happened on all instances, causes before effects.
@@ -59,7 +59,7 @@
             .map_err(|error| CmdError::failed(format!("{}: {error}", file.display())))?;
         lines.extend(text.lines().filter_map(LogLine::parse));
     }
-    let story = tell_story(lines, id);
+    let story = select_timeline(lines, id);
     if story.is_empty() {
         return Err(CmdError::failed(format!("no line names '{id}'")));
     }
--- a/src/core/timeline/mod.rs
+++ b/src/core/timeline/mod.rs
@@ -11,7 +11,7 @@
 
 use super::ids::InstanceId;
 
-pub use log_line::{LogLine, tell_story};
+pub use log_line::{LogLine, select_timeline};
 
 /// A hybrid logical clock reading: wall time, and a counter for what shares a microsecond.
 ///
