--- a/src/core/timeline/mod.rs
+++ b/src/core/timeline/mod.rs
@@ -1,4 +1,5 @@
-//! Events of one instance, stamped so that those of many instances merge in causal order.
+//! Events of an instance, stamped by a hybrid logical clock so that those of many instances merge
+//! in causal order.
 
 mod log_line;
 
@@ -13,10 +14,10 @@
 
 pub use log_line::{LogLine, select_timeline};
 
-/// A hybrid logical clock reading: wall time, and a counter for what shares a microsecond.
+/// A hybrid logical clock reading: wall time, and a counter for events in the same microsecond.
 ///
-/// A message carries its sender's stamp and the receiver's clock moves past it, so an effect is
-/// never stamped before its cause, however far the wall clocks are apart.
+/// The receiver of a message advances its clock past the sender's stamp, so an effect is never
+/// stamped before its cause, whatever the skew of the wall clocks.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, Display,
 )]
@@ -26,7 +27,7 @@
     pub counter: u32,
 }
 
-/// The clock behind the stamps of one instance.
+/// The hybrid logical clock of one instance.
 #[derive(Debug, Default)]
 pub struct CausalClock {
     last: CausalStamp,
@@ -51,7 +52,6 @@
     }
 }
 
-/// One thing that happened, for the time line and the log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TimelineEvent {
     pub stamp: CausalStamp,
@@ -64,7 +64,7 @@
 }
 
 impl fmt::Display for TimelineEvent {
-    /// The log's form: `key=value` pairs, without those that do not apply.
+    /// Formats the log line: `key=value` pairs, without those that are empty.
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(to, "event={} stamp={} instance={}", self.kind, self.stamp, self.instance)?;
         self.fmt_subjects(to)
@@ -72,7 +72,7 @@
 }
 
 impl TimelineEvent {
-    /// Writes what the event is about, each with a space before it.
+    /// Writes the non-empty subjects and the detail, each after a space.
     pub fn fmt_subjects(&self, to: &mut impl fmt::Write) -> fmt::Result {
         let subjects = [
             ("program", &self.program),
@@ -88,7 +88,7 @@
     }
 }
 
-/// The newest events of an instance; older ones are dropped.
+/// A bounded buffer of events that drops the oldest.
 #[derive(Debug)]
 pub struct EventRing {
     events: VecDeque<TimelineEvent>,
@@ -114,7 +114,7 @@
     }
 }
 
-/// Puts the events of several instances into one causal order.
+/// Merges the events of several instances in causal order.
 pub fn merge_events(batches: impl IntoIterator<Item = Vec<TimelineEvent>>) -> Vec<TimelineEvent> {
     let mut merged: Vec<TimelineEvent> = batches.into_iter().flatten().collect();
     merged.sort_by(|a, b| (a.stamp, &a.instance).cmp(&(b.stamp, &b.instance)));
