--- a/src/core/orders/lease.rs
+++ b/src/core/orders/lease.rs
@@ -17,9 +17,8 @@
     pub fence: FencingNumber,
 }
 
-/// Times of a lease.
 #[derive(Debug, Clone, Copy)]
-pub struct LeaseTerms {
+pub struct LeaseSettings {
     /// Counted by the holder from before it sends a renewal, by others from when they first see
     /// the renewed row.
     pub term: Duration,
@@ -71,7 +70,7 @@
         &self,
         me: &ShardOwner,
         mine: bool,
-        terms: &LeaseTerms,
+        settings: &LeaseSettings,
         now: Instant,
     ) -> LeaseAction {
         let Some(seen) = &self.seen else { return LeaseAction::Wait };
@@ -83,7 +82,7 @@
         }
         // Only time tells that a former holder orders nothing more. That is so for engines that
         // check fencing numbers, too: one that restarts forgets the highest it has seen.
-        let over = now - seen.since >= terms.term + terms.clock_error;
+        let over = now - seen.since >= settings.term + settings.clock_error;
         if !mine || !(row.holder.is_none() || over) {
             return LeaseAction::Wait;
         }
@@ -93,9 +92,9 @@
     }
 
     /// A row of [`OrderLease::plan`] was certainly written by a request sent at `sent`.
-    pub fn written(&mut self, row: &LeaseRow, terms: &LeaseTerms, sent: Instant) {
+    pub fn written(&mut self, row: &LeaseRow, settings: &LeaseSettings, sent: Instant) {
         let held = row.holder.is_some();
-        self.held = held.then_some((row.fence, sent + terms.term));
+        self.held = held.then_some((row.fence, sent + settings.term));
     }
 
     /// Another has written the row.
@@ -104,9 +103,9 @@
     }
 
     /// The fencing number to order with, if an order sent now arrives before the lease ends.
-    pub fn may_order(&self, terms: &LeaseTerms, now: Instant) -> Option<FencingNumber> {
+    pub fn may_order(&self, settings: &LeaseSettings, now: Instant) -> Option<FencingNumber> {
         let (fence, end) = self.held?;
-        let latest = end - terms.order_timeout - terms.clock_error;
+        let latest = end - settings.order_timeout - settings.clock_error;
         (now < latest).then_some(fence)
     }
 }
--- a/src/core/orders/mod.rs
+++ b/src/core/orders/mod.rs
@@ -3,7 +3,7 @@
 mod lease;
 mod rollout;
 
-pub use lease::{LeaseAction, LeaseRow, LeaseTerms, OrderLease};
+pub use lease::{LeaseAction, LeaseRow, LeaseSettings, OrderLease};
 pub use rollout::{
     EngineArtifact, EngineOrder, EngineRole, EngineState, FencedOrder, FencingNumber, next_orders,
 };
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -14,7 +14,7 @@
 use crate::core::config::EngineGroupSpec;
 use crate::core::ids::{InstanceId, UpstreamId};
 use crate::core::orders::{
-    EngineOrder, EngineState, FencedOrder, LeaseAction, LeaseRow, LeaseTerms, OrderLease,
+    EngineOrder, EngineState, FencedOrder, LeaseAction, LeaseRow, LeaseSettings, OrderLease,
     next_orders,
 };
 use crate::core::ownership::assign_engines;
@@ -72,8 +72,8 @@
         }
     }
 
-    fn lease_terms(&self) -> LeaseTerms {
-        LeaseTerms {
+    fn lease_terms(&self) -> LeaseSettings {
+        LeaseSettings {
             term: LEASE_TERM,
             order_timeout: ORDER_TIMEOUT,
             clock_error: self.settings.limits.clock_error(),
