--- a/src/core/orders/lease.rs
+++ b/src/core/orders/lease.rs
@@ -38,10 +38,10 @@
 }
 
 #[derive(Debug, Clone)]
-struct SeenLease {
+struct ObservedLease {
     row: LeaseRow,
     version: u64,
-    since: Instant,
+    observed_at: Instant,
 }
 
 /// One instance's view of a lease.
@@ -52,7 +52,7 @@
 /// the next order.
 #[derive(Debug, Default)]
 pub struct OrderLease {
-    seen: Option<SeenLease>,
+    observed: Option<ObservedLease>,
     /// Fencing number and end, while this instance has certainly held it.
     held: Option<(FencingNumber, Instant)>,
 }
@@ -60,8 +60,8 @@
 impl OrderLease {
     /// Takes in the row as it was read.
     pub fn observe(&mut self, row: LeaseRow, version: u64, now: Instant) {
-        if self.seen.as_ref().is_none_or(|seen| seen.version != version) {
-            self.seen = Some(SeenLease { row, version, since: now });
+        if self.observed.as_ref().is_none_or(|observed| observed.version != version) {
+            self.observed = Some(ObservedLease { row, version, observed_at: now });
         }
     }
 
@@ -73,17 +73,17 @@
         settings: &LeaseSettings,
         now: Instant,
     ) -> LeaseAction {
-        let Some(seen) = &self.seen else { return LeaseAction::Wait };
-        let write = |row| LeaseAction::Write { row, version: seen.version };
-        let mut row = seen.row.clone();
+        let Some(observed) = &self.observed else { return LeaseAction::Wait };
+        let write = |row| LeaseAction::Write { row, version: observed.version };
+        let mut row = observed.row.clone();
         if row.holder.as_ref() == Some(me) {
             row.holder = mine.then(|| me.clone());
             return write(row);
         }
         // Only time tells that a former holder orders nothing more. That is so for engines that
         // check fencing numbers, too: one that restarts forgets the highest it has seen.
-        let over = now - seen.since >= settings.term + settings.clock_error;
-        if !mine || !(row.holder.is_none() || over) {
+        let expired = now - observed.observed_at >= settings.term + settings.clock_error;
+        if !mine || !(row.holder.is_none() || expired) {
             return LeaseAction::Wait;
         }
         row.fence += 1;
@@ -92,18 +92,18 @@
     }
 
     /// A row of [`OrderLease::plan`] was certainly written by a request sent at `sent`.
-    pub fn written(&mut self, row: &LeaseRow, settings: &LeaseSettings, sent: Instant) {
+    pub fn record_write(&mut self, row: &LeaseRow, settings: &LeaseSettings, sent: Instant) {
         let held = row.holder.is_some();
         self.held = held.then_some((row.fence, sent + settings.term));
     }
 
     /// Another has written the row.
-    pub fn lost(&mut self) {
+    pub fn invalidate(&mut self) {
         self.held = None;
     }
 
     /// The fencing number to order with, if an order sent now arrives before the lease ends.
-    pub fn may_order(&self, settings: &LeaseSettings, now: Instant) -> Option<FencingNumber> {
+    pub fn valid_fence(&self, settings: &LeaseSettings, now: Instant) -> Option<FencingNumber> {
         let (fence, end) = self.held?;
         let latest = end - settings.order_timeout - settings.clock_error;
         (now < latest).then_some(fence)
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -83,7 +83,7 @@
     async fn serve_group(&self, group: &mut GroupOrders, spec: &EngineGroupSpec, version: u64) {
         let mine = self.should_order(&spec.model);
         let terms = self.lease_terms();
-        let held = group.lease.may_order(&terms, Instant::now()).is_some();
+        let held = group.lease.valid_fence(&terms, Instant::now()).is_some();
         if !mine && !held {
             return;
         }
@@ -94,7 +94,7 @@
         let settled = group
             .settled
             .is_some_and(|(at, settled)| settled == version && at.elapsed() < STATE_CHECK);
-        if mine && !settled && group.lease.may_order(&terms, Instant::now()).is_some() {
+        if mine && !settled && group.lease.valid_fence(&terms, Instant::now()).is_some() {
             let done = self.order_engines(&group.lease, spec).await;
             group.settled = done.then(|| (Instant::now(), version));
         }
@@ -121,7 +121,7 @@
         let row: LeaseRow = found.map_or(Ok(LeaseRow::default()), |row| parse_row(&row))?;
         let (me, terms) = (self.identity(), self.lease_terms());
         if row.holder.as_ref() != Some(&me) {
-            group.lease.lost();
+            group.lease.invalidate();
         }
         group.lease.observe(row, version, Instant::now());
         let action = group.lease.plan(&me, mine, &terms, Instant::now());
@@ -131,7 +131,7 @@
         self.metrics.store_write();
         // After a lost reply the lease counts as it did before; the next reading tells the rest.
         if self.table.commit(&self.fenced(transaction)).await? == CommitReply::Committed {
-            group.lease.written(&row, &terms, sent);
+            group.lease.record_write(&row, &terms, sent);
             group.renewed = Some(sent);
         }
         Ok(())
@@ -147,7 +147,7 @@
         for (engine, order) in orders {
             // The clock is looked at before each order: sending the one before may have taken
             // long, or this process may have been paused since.
-            let Some(fence) = lease.may_order(&self.lease_terms(), Instant::now()) else {
+            let Some(fence) = lease.valid_fence(&self.lease_terms(), Instant::now()) else {
                 return false;
             };
             if let Some(entry) = engines.iter().find(|entry| entry.id == engine) {
