--- a/src/core/orders/lease.rs
+++ b/src/core/orders/lease.rs
@@ -1,39 +1,37 @@
-//! The lease under which one instance orders the engines of one model.
+//! A lease that lets one instance at a time send orders to the engines of a model.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use super::rollout::FencingNumber;
+use super::rollout::FencingToken;
 use crate::core::ownership::ShardOwner;
 
-/// A lease as the table keeps it. Each renewal writes the row again, so that its version rises.
+/// The stored lease. A renewal writes the same row again, which raises its version.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// Absent after the holder has let go of it.
+    /// Absent after the holder has released the lease.
     pub holder: Option<ShardOwner>,
-    /// Rises by one with each new holder.
-    pub fence: FencingNumber,
+    /// Increases by one with each new holder.
+    pub fence: FencingToken,
 }
 
 #[derive(Debug, Clone, Copy)]
 pub struct LeaseSettings {
-    /// Counted by the holder from before it sends a renewal, by others from when they first see
+    /// Counted by the holder from before it sends a renewal, by others from when they first read
     /// the renewed row.
     pub term: Duration,
-    /// Longest an order is under way; none is sent so shortly before the end.
+    /// Time limit of an order; none is sent if less than this is left of the lease.
     pub order_timeout: Duration,
-    /// How far clocks may drift apart during a term.
+    /// Maximum drift between two clocks during a term.
     pub clock_error: Duration,
 }
 
-/// What to do with the lease's row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Leave it alone for now.
     Wait,
-    /// Write this row, if it still has this version.
+    /// Write this row if the stored row still has this version.
     Write { row: LeaseRow, version: u64 },
 }
 
@@ -46,30 +44,30 @@
 
 /// One instance's view of a lease.
 ///
-/// No wall clock is compared with another's. The holder counts from before it sent its last
-/// renewal, everybody else from a later moment, so the holder stops first if clocks run at about
-/// the same speed. A holder that was paused finds its time over when it looks at its clock before
-/// the next order.
+/// Wall clocks of different instances are never compared. The holder counts the term from before
+/// it sent its last renewal and the others from a later moment, so the holder's term ends first
+/// if drift stays within `clock_error`. A holder that was paused must check
+/// [`OrderLease::valid_fence`] before each order.
 #[derive(Debug, Default)]
 pub struct OrderLease {
     observed: Option<ObservedLease>,
-    /// Fencing number and end, while this instance has certainly held it.
-    held: Option<(FencingNumber, Instant)>,
+    /// Fencing token and end of the last term that the store confirmed.
+    held: Option<(FencingToken, Instant)>,
 }
 
 impl OrderLease {
-    /// Takes in the row as it was read.
+    /// Records a read of the row; the term is counted from the first read of each version.
     pub fn observe(&mut self, row: LeaseRow, version: u64, now: Instant) {
         if self.observed.as_ref().is_none_or(|observed| observed.version != version) {
             self.observed = Some(ObservedLease { row, version, observed_at: now });
         }
     }
 
-    /// Decides about the row that was observed last; `mine` if this instance should hold it.
+    /// Decides what to do with the row observed last, given whether `me` should hold the lease.
     pub fn plan(
         &self,
         me: &ShardOwner,
-        mine: bool,
+        should_hold: bool,
         settings: &LeaseSettings,
         now: Instant,
     ) -> LeaseAction {
@@ -77,13 +75,13 @@
         let write = |row| LeaseAction::Write { row, version: observed.version };
         let mut row = observed.row.clone();
         if row.holder.as_ref() == Some(me) {
-            row.holder = mine.then(|| me.clone());
+            row.holder = should_hold.then(|| me.clone());
             return write(row);
         }
-        // Only time tells that a former holder orders nothing more. That is so for engines that
-        // check fencing numbers, too: one that restarts forgets the highest it has seen.
+        // Only expiry proves that a former holder sends no more orders, even to engines that check
+        // fencing tokens: an engine loses the highest token it has seen when it restarts.
         let expired = now - observed.observed_at >= settings.term + settings.clock_error;
-        if !mine || !(row.holder.is_none() || expired) {
+        if !should_hold || !(row.holder.is_none() || expired) {
             return LeaseAction::Wait;
         }
         row.fence += 1;
@@ -91,19 +89,19 @@
         write(row)
     }
 
-    /// A row of [`OrderLease::plan`] was certainly written by a request sent at `sent`.
+    /// Records that the store confirmed a row of [`OrderLease::plan`], written at `sent`.
     pub fn record_write(&mut self, row: &LeaseRow, settings: &LeaseSettings, sent: Instant) {
         let held = row.holder.is_some();
         self.held = held.then_some((row.fence, sent + settings.term));
     }
 
-    /// Another has written the row.
+    /// To be called when the stored row does not name this instance as the holder.
     pub fn invalidate(&mut self) {
         self.held = None;
     }
 
-    /// The fencing number to order with, if an order sent now arrives before the lease ends.
-    pub fn valid_fence(&self, settings: &LeaseSettings, now: Instant) -> Option<FencingNumber> {
+    /// Returns the fencing token if an order sent now arrives before the lease ends.
+    pub fn valid_fence(&self, settings: &LeaseSettings, now: Instant) -> Option<FencingToken> {
         let (fence, end) = self.held?;
         let latest = end - settings.order_timeout - settings.clock_error;
         (now < latest).then_some(fence)
--- a/src/core/orders/mod.rs
+++ b/src/core/orders/mod.rs
@@ -1,9 +1,9 @@
-//! Orders to engines: who may give them, and which ones bring engines to their wanted state.
+//! Orders to engines: the lease needed to send them, and the orders of a rollout.
 
 mod lease;
 mod rollout;
 
 pub use lease::{LeaseAction, LeaseRow, LeaseSettings, OrderLease};
 pub use rollout::{
-    EngineArtifact, EngineOrder, EngineRole, EngineState, FencedOrder, FencingNumber, next_orders,
+    EngineArtifact, EngineOrder, EngineRole, EngineState, FencedOrder, FencingToken, next_orders,
 };
--- a/src/core/orders/rollout.rs
+++ b/src/core/orders/rollout.rs
@@ -8,8 +8,8 @@
 use crate::core::config::EngineGroupSpec;
 use crate::core::ids::UpstreamId;
 
-/// Number of a lease's holder; an engine may refuse a lower one than it has seen.
-pub type FencingNumber = u64;
+/// Rises with each holder of a lease; an engine may refuse a lower token than it has seen.
+pub type FencingToken = u64;
 
 /// What part of calls an engine takes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize, Display)]
@@ -49,7 +49,7 @@
 /// An order as it goes to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencedOrder {
-    pub fence: FencingNumber,
+    pub fence: FencingToken,
     #[serde(flatten)]
     pub order: EngineOrder,
 }
--- a/src/standin/orders.rs
+++ b/src/standin/orders.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use crate::core::orders::{EngineOrder, EngineState, FencedOrder, FencingNumber};
+use crate::core::orders::{EngineOrder, EngineState, FencedOrder, FencingToken};
 
 /// An order that was carried out.
 #[derive(Debug, Clone, PartialEq)]
@@ -18,7 +18,7 @@
 pub(super) struct OrderBook {
     pub(super) taken: Vec<TakenOrder>,
     state: EngineState,
-    highest: FencingNumber,
+    highest: FencingToken,
     busy_until: Option<Instant>,
 }
 
