--- a/src/core/orders/rollout.rs
+++ b/src/core/orders/rollout.rs
@@ -1,4 +1,4 @@
-//! Which orders bring a model's engines nearer to what operators want.
+//! Plans the orders that bring the engines of a model to their desired state.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 /// Rises with each holder of a lease; an engine may refuse a lower token than it has seen.
 pub type FencingToken = u64;
 
-/// What part of calls an engine takes.
+/// The phases of a call that an engine runs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize, Display)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
@@ -25,18 +25,17 @@
     Decode,
 }
 
-/// A model's weights or an adapter, in one version.
+/// A version of the weights of a model or of an adapter.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EngineArtifact {
     pub name: Box<str>,
     pub version: Box<str>,
 }
 
-/// One order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "order", rename_all = "snake_case")]
 pub enum EngineOrder {
-    /// Loads a version from the weight store in place of any other of the same name.
+    /// Loads a version from the weight store, replacing any other version of the same name.
     Load(EngineArtifact),
     Unload {
         name: Box<str>,
@@ -46,7 +45,7 @@
     },
 }
 
-/// An order as it goes to an engine.
+/// An order as sent to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencedOrder {
     pub fence: FencingToken,
@@ -54,31 +53,30 @@
     pub order: EngineOrder,
 }
 
-/// How an engine stands.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
     pub loaded: Vec<EngineArtifact>,
     pub role: EngineRole,
-    /// An order is being carried out, and no call is taken meanwhile.
+    /// The engine is executing an order and accepts no calls.
     pub busy: bool,
 }
 
-/// The orders to send now: at most one an engine, and never so many that more than the wanted
-/// share of the engines is away. An engine whose state is unknown counts as away.
+/// Returns the orders to send now, at most one per engine, so that no more than
+/// `max_away_percent` of the engines are unavailable. An engine of unknown state is unavailable.
 ///
-/// At least one engine may be away, or a small group could never change.
+/// The limit is at least one engine, or a small group could never change.
 pub fn next_orders(
     spec: &EngineGroupSpec,
     states: &BTreeMap<UpstreamId, Option<EngineState>>,
 ) -> Vec<(UpstreamId, EngineOrder)> {
     let limit = (states.len() * usize::from(spec.max_away_percent) / 100).max(1);
-    let away = |state: &&Option<EngineState>| state.as_ref().is_none_or(|state| state.busy);
-    let room = limit.saturating_sub(states.values().filter(away).count());
+    let unavailable = |state: &&Option<EngineState>| state.as_ref().is_none_or(|state| state.busy);
+    let capacity = limit.saturating_sub(states.values().filter(unavailable).count());
     let idle = states.iter().filter_map(|(engine, state)| {
         let state = state.as_ref().filter(|state| !state.busy)?;
         Some((engine.clone(), next_order(spec, state)?))
     });
-    idle.take(room).collect()
+    idle.take(capacity).collect()
 }
 
 fn next_order(spec: &EngineGroupSpec, state: &EngineState) -> Option<EngineOrder> {
@@ -86,8 +84,8 @@
     if let Some(artifact) = missing {
         return Some(EngineOrder::Load(artifact.clone()));
     }
-    let wanted = |name: &str| spec.artifacts.iter().any(|artifact| &*artifact.name == name);
-    if let Some(extra) = state.loaded.iter().find(|artifact| !wanted(&artifact.name)) {
+    let desired = |name: &str| spec.artifacts.iter().any(|artifact| &*artifact.name == name);
+    if let Some(extra) = state.loaded.iter().find(|artifact| !desired(&artifact.name)) {
         return Some(EngineOrder::Unload { name: extra.name.clone() });
     }
     (state.role != spec.role).then_some(EngineOrder::SetRole { role: spec.role })
