--- a/src/core/orders/lease.rs
+++ b/src/core/orders/lease.rs
@@ -89,7 +89,9 @@
         write(row)
     }
 
-    /// Records that the store confirmed a row of [`OrderLease::plan`], written at `sent`.
+    /// Records that the store confirmed a row of [`OrderLease::plan`].
+    ///
+    /// `sent` is a time before the write was sent.
     pub fn record_write(&mut self, row: &LeaseRow, settings: &LeaseSettings, sent: Instant) {
         let held = row.holder.is_some();
         self.held = held.then_some((row.fence, sent + settings.term));
