--- a/src/core/ownership/assign.rs
+++ b/src/core/ownership/assign.rs
@@ -9,7 +9,7 @@
 /// A member may own this share above the mean, in percent.
 const LOAD_BOUND_PERCENT: usize = 110;
 
-/// The wanted owner of every shard: the instance with the highest weight that is not full yet.
+/// The desired owner of every shard: the instance with the highest weight that is not full yet.
 ///
 /// Every instance that knows the same members computes the same; a member that comes or goes
 /// moves its own shards and few others. Empty without members.
@@ -37,9 +37,9 @@
     hash: impl Fn(&K) -> u64,
     members: &[InstanceId],
 ) -> BTreeMap<K, InstanceId> {
-    let mut wanted = BTreeMap::new();
+    let mut desired = BTreeMap::new();
     if members.is_empty() {
-        return wanted;
+        return desired;
     }
     let bound = (keys.len() * LOAD_BOUND_PERCENT).div_ceil(members.len() * 100);
     let load = |instance| MemberLoad { instance, hash: member_hash(instance), owned: 0 };
@@ -50,9 +50,9 @@
         let best = open.max_by_key(|load| mix(load.hash ^ seed));
         let best = best.expect("the bound leaves room for every key");
         best.owned += 1;
-        wanted.insert(key, best.instance.clone());
+        desired.insert(key, best.instance.clone());
     }
-    wanted
+    desired
 }
 
 fn member_hash(instance: &InstanceId) -> u64 {
--- a/src/core/ownership/table.rs
+++ b/src/core/ownership/table.rs
@@ -42,27 +42,26 @@
 pub struct ShardTable {
     views: Vec<ShardView>,
     owned: BTreeMap<ShardId, ShardPhase>,
-    wanted: BTreeMap<ShardId, InstanceId>,
+    desired: BTreeMap<ShardId, InstanceId>,
 }
 
 impl ShardTable {
     pub fn new(shards: ShardId) -> Self {
         let views = vec![ShardView::default(); shards.into()];
-        Self { views, owned: BTreeMap::new(), wanted: BTreeMap::new() }
+        Self { views, owned: BTreeMap::new(), desired: BTreeMap::new() }
     }
 
     pub fn shards(&self) -> ShardId {
         self.views.len() as ShardId
     }
 
-    /// Recomputes the wanted owners.
+    /// Recomputes the desired owners.
     pub fn set_members(&mut self, members: &[InstanceId]) {
-        self.wanted = assign_shards(self.shards(), members);
+        self.desired = assign_shards(self.shards(), members);
     }
 
-    /// Who should own a shard.
-    pub fn wanted(&self, shard: ShardId) -> Option<&InstanceId> {
-        self.wanted.get(&shard)
+    pub fn desired_owner(&self, shard: ShardId) -> Option<&InstanceId> {
+        self.desired.get(&shard)
     }
 
     /// Takes in a row read from the table; an older version never replaces a newer one.
@@ -121,7 +120,7 @@
         let mut plan = ShardPlan::default();
         for (index, view) in self.views.iter().enumerate() {
             let shard = index as ShardId;
-            let mine = self.wanted.get(&shard) == Some(&me.instance);
+            let mine = self.desired.get(&shard) == Some(&me.instance);
             match &view.row.owner {
                 _ if self.owned.contains_key(&shard) => {
                     let serving = self.phase(shard) == Some(ShardPhase::Serving);
--- a/src/node/ownership/collect.rs
+++ b/src/node/ownership/collect.rs
@@ -75,7 +75,7 @@
     fn collects(&self, incarnation: Incarnation) -> bool {
         let table = self.shards.borrow();
         let shard = (incarnation % u64::from(table.shards())) as ShardId;
-        table.wanted(shard) == Some(&self.settings.instance)
+        table.desired_owner(shard) == Some(&self.settings.instance)
     }
 
     /// Closes the account first and deletes the incarnation's own row last, so that whoever
--- a/src/node/ownership/mod.rs
+++ b/src/node/ownership/mod.rs
@@ -307,7 +307,8 @@
         for member in others {
             let mine: Vec<_> = {
                 let table = self.shards.borrow();
-                let wanted = |shard: &ShardId| table.wanted(*shard) == Some(&member.instance);
+                let wanted =
+                    |shard: &ShardId| table.desired_owner(*shard) == Some(&member.instance);
                 shards.iter().copied().filter(wanted).collect()
             };
             if !mine.is_empty() {
