--- a/src/core/ownership/table.rs
+++ b/src/core/ownership/table.rs
@@ -89,12 +89,12 @@
         self.owned.insert(shard, phase);
     }
 
-    pub fn forget(&mut self, shard: ShardId) {
+    pub fn clear_phase(&mut self, shard: ShardId) {
         self.owned.remove(&shard);
     }
 
-    /// Forgets all ownership, as an instance does that has been fenced.
-    pub fn forget_all(&mut self) {
+    /// Drops all ownership, after this instance has been fenced.
+    pub fn clear_phases(&mut self) {
         self.owned.clear();
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Shards held as served or draining whose rows name another owner, or none.
-    pub fn lost(&self, me: &ShardOwner) -> Vec<ShardId> {
+    pub fn lost_shards(&self, me: &ShardOwner) -> Vec<ShardId> {
         let settled = self.owned.iter().filter(|(_, phase)| **phase != ShardPhase::Loading);
         let elsewhere = settled.filter(|(shard, _)| self.owner(**shard) != Some(me));
         elsewhere.map(|(shard, _)| *shard).collect()
--- a/src/node/instance.rs
+++ b/src/node/instance.rs
@@ -337,7 +337,7 @@
     /// Shards must not be adopted on their word: their programs may have moved on elsewhere, and
     /// callers would be told of a history that lacks its last turns.
     pub(crate) fn note_fenced(&self) {
-        self.shards.borrow_mut().forget_all();
+        self.shards.borrow_mut().clear_phases();
         self.journal.set_fenced();
     }
 
--- a/src/node/ownership/mod.rs
+++ b/src/node/ownership/mod.rs
@@ -156,9 +156,9 @@
     /// that is tried again over the next owner's claim would pass, as it is made of the newest
     /// row; it would end that owner's journal while it goes on writing.
     fn drop_lost_shards(&self) {
-        let lost = self.shards.borrow().lost(&self.identity());
+        let lost = self.shards.borrow().lost_shards(&self.identity());
         for shard in &lost {
-            self.shards.borrow_mut().forget(*shard);
+            self.shards.borrow_mut().clear_phase(*shard);
             self.book.borrow_mut().drop_shard(*shard);
         }
         if !lost.is_empty() {
@@ -244,7 +244,7 @@
             }
             Err(error) => {
                 for shard in &shards {
-                    self.shards.borrow_mut().forget(*shard);
+                    self.shards.borrow_mut().clear_phase(*shard);
                 }
                 Err(error)
             }
@@ -286,7 +286,7 @@
             if self.shards.borrow().owner(*shard) == Some(&me) {
                 continue;
             }
-            self.shards.borrow_mut().forget(*shard);
+            self.shards.borrow_mut().clear_phase(*shard);
             self.book.borrow_mut().drop_shard(*shard);
             released.push(*shard);
         }
