--- a/src/core/ownership/table.rs
+++ b/src/core/ownership/table.rs
@@ -1,4 +1,4 @@
-//! The shards as one instance sees them, and what it should do about them.
+//! One instance's view of all shards, and the plan that moves them to their desired owners.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,38 +6,35 @@
 use super::row::{ShardOwner, ShardRow};
 use crate::core::ids::{Incarnation, InstanceId, ShardId};
 
-/// A shard's row as last read, and its version in the table.
+/// A shard's row as last read.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ShardView {
     pub row: ShardRow,
-    /// 0 if there is no row yet.
+    /// Version of the row in the store; 0 if there is no row yet.
     pub version: u64,
 }
 
-/// How a shard stands at the instance that owns it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShardPhase {
-    /// Claimed; its programs are being read.
+    /// Claimed; its programs are being loaded.
     Loading,
     Serving,
-    /// To be handed over once its running calls are done; takes no new ones.
+    /// Accepts no new calls; handed over once its running calls are done.
     Draining,
 }
 
-/// What to do next.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ShardPlan {
-    /// Unowned shards to claim, and those of a former self.
+    /// Unowned shards whose desired owner is this instance.
     pub claim: Vec<ShardId>,
-    /// Shards of owners believed dead: fence the incarnation first.
+    /// Shards of ended incarnations, each of which must be fenced first.
     pub take_over: BTreeMap<Incarnation, Vec<ShardId>>,
-    /// Own shards that belong elsewhere.
+    /// Served shards whose desired owner is not this instance.
     pub hand_over: Vec<ShardId>,
-    /// Shards that the table says are owned here, though a lost reply hid it.
+    /// Shards that are stored as owned by this instance after the reply to its claim was lost.
     pub adopt: Vec<ShardId>,
 }
 
-/// All shards.
 #[derive(Debug)]
 pub struct ShardTable {
     views: Vec<ShardView>,
@@ -64,7 +61,7 @@
         self.desired.get(&shard)
     }
 
-    /// Takes in a row read from the table; an older version never replaces a newer one.
+    /// Records a row read from the store; an older version never replaces a newer one.
     pub fn observe(&mut self, shard: ShardId, view: ShardView) {
         let Some(known) = self.views.get_mut(usize::from(shard)) else { return };
         if view.version > known.version {
@@ -76,7 +73,6 @@
         self.views.get(usize::from(shard))
     }
 
-    /// The owner a call should be carried to.
     pub fn owner(&self, shard: ShardId) -> Option<&ShardOwner> {
         self.view(shard)?.row.owner.as_ref()
     }
@@ -102,21 +98,20 @@
         self.owned.iter().map(|(shard, phase)| (*shard, *phase))
     }
 
-    /// Shards held as served or draining whose rows name another owner, or none.
+    /// Serving or draining shards whose rows do not name `me` as the owner.
     pub fn lost_shards(&self, me: &ShardOwner) -> Vec<ShardId> {
-        let settled = self.owned.iter().filter(|(_, phase)| **phase != ShardPhase::Loading);
-        let elsewhere = settled.filter(|(shard, _)| self.owner(**shard) != Some(me));
-        elsewhere.map(|(shard, _)| *shard).collect()
+        let loaded = self.owned.iter().filter(|(_, phase)| **phase != ShardPhase::Loading);
+        let lost = loaded.filter(|(shard, _)| self.owner(**shard) != Some(me));
+        lost.map(|(shard, _)| *shard).collect()
     }
 
-    /// Own shards that take calls.
     pub fn serving(&self) -> impl Iterator<Item = ShardId> {
         let serving = self.owned.iter().filter(|(_, phase)| **phase == ShardPhase::Serving);
         serving.map(|(shard, _)| *shard)
     }
 
-    /// What `me` should claim, take over and hand over, given the incarnations that are over.
-    pub fn plan(&self, me: &ShardOwner, over: &BTreeSet<Incarnation>) -> ShardPlan {
+    /// Plans the next changes by `me`; `ended` holds incarnations whose shards may be taken over.
+    pub fn plan(&self, me: &ShardOwner, ended: &BTreeSet<Incarnation>) -> ShardPlan {
         let mut plan = ShardPlan::default();
         for (index, view) in self.views.iter().enumerate() {
             let shard = index as ShardId;
@@ -130,7 +125,7 @@
                 }
                 Some(owner) if owner == me => plan.adopt.push(shard),
                 None if mine => plan.claim.push(shard),
-                Some(owner) if mine && over.contains(&owner.incarnation) => {
+                Some(owner) if mine && ended.contains(&owner.incarnation) => {
                     plan.take_over.entry(owner.incarnation).or_default().push(shard);
                 }
                 _ => {}
