--- a/src/core/ownership/mod.rs
+++ b/src/core/ownership/mod.rs
@@ -1,4 +1,4 @@
-//! Which instance owns which shard of programs.
+//! Ownership of shards of programs: the stored rows, the assignment to instances and its changes.
 
 mod assign;
 mod row;
