--- a/src/core/ownership/row.rs
+++ b/src/core/ownership/row.rs
@@ -1,40 +1,40 @@
-//! Rows of the table that ownership rests on.
+//! The stored rows that record the owners of shards and the state of incarnations.
 
 use serde::{Deserialize, Serialize};
 
 use crate::core::ids::{Incarnation, InstanceId};
 
-/// Who owns a shard and where its programs are to be read.
+/// The owner of a shard, and the objects to load its programs from.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardRow {
-    /// Absent while nobody owns it: before the first claim and after a handover.
+    /// Absent before the first claim and after a handover.
     pub owner: Option<ShardOwner>,
-    /// Object with the programs as of the start of the first span.
+    /// Object that holds the programs as of the start of the first span.
     pub checkpoint: Option<Box<str>>,
-    /// Journal parts to replay on top, in order. The last one is open while there is an owner.
+    /// Parts of journals to replay on the checkpoint, in order. The last is open while owned.
     pub spans: Vec<JournalSpan>,
 }
 
-/// The incarnation that owns a shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardOwner {
     pub instance: InstanceId,
     pub incarnation: Incarnation,
 }
 
-/// Part of one incarnation's journal.
+/// A range of batches in the journal of one incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JournalSpan {
     pub incarnation: Incarnation,
     /// First batch.
     pub from: u64,
-    /// Batch after the last; absent while the incarnation still writes.
+    /// Batch after the last; absent while the incarnation writes to the span.
     pub until: Option<u64>,
 }
 
 impl ShardRow {
-    /// The row after `owner`, whose next batch is `sequence`, has claimed it. `ended_at` is the
-    /// batch after the fenced former owner's last one; it is not used if there was no owner.
+    /// Returns the row after a claim by `owner`, whose next batch is `sequence`.
+    ///
+    /// `ended_at` is the batch after the last one of the fenced former owner, if there was one.
     pub fn claimed(&self, owner: ShardOwner, sequence: u64, ended_at: u64) -> Self {
         let mut row = self.released(ended_at);
         let span = JournalSpan { incarnation: owner.incarnation, from: sequence, until: None };
@@ -43,12 +43,12 @@
         row
     }
 
-    /// The row after its owner, whose next batch is `sequence`, has let go of it.
+    /// Returns the row after a release by the owner, whose next batch is `sequence`.
     pub fn released(&self, sequence: u64) -> Self {
         let mut row = self.clone();
         row.owner = None;
         if let Some(last) = row.spans.last_mut() {
-            // All batches before the span's start may have been trimmed after a checkpoint.
+            // After a checkpoint has trimmed the journal, `sequence` may precede the start of the span.
             let until = sequence.max(last.from);
             last.until.get_or_insert(until);
         }
@@ -56,7 +56,7 @@
         row
     }
 
-    /// The row after its owner has written a checkpoint that covers all before `sequence`.
+    /// Returns the row after a checkpoint that covers all batches before `sequence`.
     pub fn checkpointed(&self, object: Box<str>, sequence: u64) -> Self {
         let owner = self.owner.clone();
         let incarnation = owner.as_ref().map_or(0, |owner| owner.incarnation);
@@ -65,10 +65,10 @@
     }
 }
 
-/// One run of an instance. Its row is written twice: at the start, and when it is fenced.
+/// The stored state of an incarnation, written when it starts and when it is fenced.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IncarnationRow {
     pub instance: InstanceId,
-    /// Who declared it over; absent while it may write.
+    /// The incarnation that fenced this one; absent while this one may write.
     pub fenced_by: Option<Incarnation>,
 }
