--- a/src/core/outcome/mod.rs
+++ b/src/core/outcome/mod.rs
@@ -1,4 +1,4 @@
-//! What became of a call: the three outcomes a caller must be able to tell apart.
+//! Results of calls and other requests. Callers must be able to tell the three outcomes apart.
 
 use std::time::Duration;
 
@@ -7,19 +7,17 @@
 
 use super::ids::{CallNumber, Tokens, UpstreamId};
 
-/// The final word on one call.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, From)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum CallOutcome {
-    /// The call ran and this is its complete answer; it is part of the durable history.
+    /// The complete answer of a call that ran; it is part of the durable history.
     Answered(CallAnswer),
-    /// No byte of the call reached an upstream and no intent stands; it may be sent again.
+    /// No byte of the call reached an upstream and no intent is stored; it may be sent again.
     NotRun(CallRefusal),
-    /// The call may have run. A non-idempotent call is never sent again by the system.
+    /// The call may have run. The system never resends a non-idempotent call.
     Unknown(UnknownCall),
 }
 
-/// A complete answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CallAnswer {
     pub text: Box<str>,
@@ -27,46 +25,43 @@
     pub usage: TokenUsage,
 }
 
-/// Tokens one call cost, as the engine counted them.
+/// Token counts of one call, as reported by the engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenUsage {
     pub prompt: Tokens,
-    /// The part of `prompt` that the engine found in its cache.
+    /// The part of `prompt` that was served from the engine's cache.
     pub cached: Tokens,
     pub generated: Tokens,
 }
 
 impl TokenUsage {
-    /// What the workspace pays.
+    /// Tokens charged to the workspace; cached prompt tokens are charged in full.
     pub fn billed(&self) -> Tokens {
         self.prompt + self.generated
     }
 }
 
-/// A call, or another request, that was turned away before anything ran.
+/// Refusal of a call or another request of which no part ran.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Display)]
 #[display("{reason}")]
 pub struct CallRefusal {
     #[serde(flatten)]
     pub reason: RefusalReason,
-    /// When asking again makes sense; absent if it never does.
+    /// Delay before a retry; absent if no retry can succeed.
     #[serde(with = "retry_millis", rename = "retry_after_ms", default)]
     pub retry_after: Option<Duration>,
 }
 
 impl CallRefusal {
-    /// A refusal that asking again cannot change.
     pub fn permanent(reason: RefusalReason) -> Self {
         Self { reason, retry_after: None }
     }
 
-    /// A refusal worth another try after `wait`.
-    pub fn retry(reason: RefusalReason, wait: Duration) -> Self {
-        Self { reason, retry_after: Some(wait) }
+    pub fn retry(reason: RefusalReason, delay: Duration) -> Self {
+        Self { reason, retry_after: Some(delay) }
     }
 }
 
-/// Why a request was turned away.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Display)]
 #[serde(tag = "reason", rename_all = "snake_case")]
 pub enum RefusalReason {
@@ -102,28 +97,26 @@
     Draining,
 }
 
-/// Why a request other than a call has no good answer.
+/// Failure of a request other than a call.
 #[derive(Debug, Clone, PartialEq, Display, From)]
 pub enum RequestFailure {
-    /// It did not run.
     NotRun(CallRefusal),
-    /// It may have run, or may yet. Repeating it is harmless.
+    /// The request may have run, or may run later. It is idempotent, so it may be repeated.
     Unknown(UnknownCall),
 }
 
 impl RequestFailure {
-    /// A request whose answer was lost.
     pub fn unknown(message: &str) -> Self {
         Self::Unknown(UnknownCall { message: message.into(), retryable: true })
     }
 }
 
-/// A call whose fate is not known.
+/// A call or another request that may have run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Display)]
 #[display("{message}")]
 pub struct UnknownCall {
     pub message: Box<str>,
-    /// Whether the same request id may run again: only for idempotent calls.
+    /// True only for idempotent requests, which may be sent again under the same request id.
     pub retryable: bool,
 }
 
@@ -132,9 +125,9 @@
 
     use serde::{Deserialize, Deserializer, Serializer};
 
-    pub fn serialize<S: Serializer>(wait: &Option<Duration>, to: S) -> Result<S::Ok, S::Error> {
-        match wait {
-            Some(wait) => to.serialize_some(&(wait.as_millis() as u64)),
+    pub fn serialize<S: Serializer>(delay: &Option<Duration>, to: S) -> Result<S::Ok, S::Error> {
+        match delay {
+            Some(delay) => to.serialize_some(&(delay.as_millis() as u64)),
             None => to.serialize_none(),
         }
     }
