--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,4 +1,4 @@
-//! Decisions without input or output: each module takes messages and the time and returns values.
+//! Decision logic without I/O: modules take messages and the current time and return values.
 
 pub mod admission;
 pub mod budget;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! merlinsaddle schedules agent programs in front of model engines and plain services.
 //!
-//! [`core`] decides and does no input or output; [`node`] surrounds it with sockets and timers;
+//! [`core`] holds the decision logic and does no I/O; [`node`] adds sockets and timers;
 //! [`gateway`] serves callers where any instance may serve any request;
-//! [`bench`] measures; [`client`] is a caller's library;
-//! [`standin`] takes the platform's and the upstreams' place in tests; [`cmd`] is the command line.
+//! [`bench`] holds benchmarks; [`client`] is the client library;
+//! [`standin`] replaces the platform and the upstreams in tests; [`cmd`] is the command line.
 
 pub mod bench;
 pub mod client;
