--- a/tests/assignment.rs
+++ b/tests/assignment.rs
@@ -1,4 +1,4 @@
-//! Who should own which shard.
+//! Assignment of shards to instances.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
 #[case(3)]
 #[case(11)]
 #[case(100)]
-fn no_instance_owns_much_more_than_the_mean(#[case] count: usize) {
+fn load_of_every_instance_is_bounded(#[case] count: usize) {
     let mut owned: BTreeMap<InstanceId, usize> = BTreeMap::new();
     for owner in assign_shards(SHARDS, &instances(count)).into_values() {
         *owned.entry(owner).or_default() += 1;
@@ -27,29 +27,29 @@
     assert!(owned.values().all(|owned| *owned <= bound), "{owned:?}");
 }
 
-/// An instance leaves: besides its own shards, only those move that the load bound pushes on.
+/// Guards against a departure that moves more shards than the load bound requires.
 #[rstest]
 #[case(3)]
 #[case(11)]
 #[case(100)]
-fn few_shards_move_when_an_instance_leaves(#[case] count: usize) {
+fn departure_of_an_instance_moves_few_other_shards(#[case] count: usize) {
     let members = instances(count);
     let before = assign_shards(SHARDS, &members);
     let after = assign_shards(SHARDS, &members[1..]);
     let own = before.values().filter(|owner| **owner == members[0]).count();
     let moved = before.iter().filter(|(shard, owner)| after[shard] != **owner).count();
-    assert!(moved <= own * 2, "{moved} moved, {own} had to");
+    assert!(moved <= own * 2, "{moved} shards moved, {own} of them from the departed instance");
 }
 
 #[test]
-fn the_order_in_which_members_are_known_does_not_matter() {
+fn assignment_does_not_depend_on_member_order() {
     let members = instances(11);
-    let mut turned = members.clone();
-    turned.reverse();
-    assert_eq!(assign_shards(SHARDS, &members), assign_shards(SHARDS, &turned));
+    let mut reversed = members.clone();
+    reversed.reverse();
+    assert_eq!(assign_shards(SHARDS, &members), assign_shards(SHARDS, &reversed));
 }
 
 #[test]
-fn nobody_owns_anything_without_members() {
+fn no_shard_is_assigned_without_members() {
     assert!(assign_shards(SHARDS, &[]).is_empty());
 }
