--- a/tests/timeline.rs
+++ b/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! Events of instances whose clocks differ merge with causes before effects.
+//! Causal order of events from instances whose wall clocks differ.
 
 use std::time::Duration;
 
@@ -16,31 +16,37 @@
     }
 }
 
-/// A message goes from an instance whose clock is an hour ahead to one that is right, and an answer
-/// comes back. By wall clock the answer would stand an hour before the question.
+/// Guards against merging by wall clock, which would sort a reply before its request if the sender
+/// of the request has a clock an hour ahead.
 #[test]
-fn an_effect_is_never_before_its_cause() {
-    let (mut ahead, mut right) = (CausalClock::default(), CausalClock::default());
+fn effects_are_sorted_after_their_causes_despite_clock_skew() {
+    let (mut ahead, mut accurate) = (CausalClock::default(), CausalClock::default());
     let (hour, second) = (Duration::from_secs(3600), Duration::from_secs(1));
-    let asked = ahead.tick(hour + second);
-    let heard = right.observe(second, asked);
-    let answered = right.tick(second * 2);
-    let received = ahead.observe(hour + second * 3, answered);
+    let request_sent = ahead.tick(hour + second);
+    let request_received = accurate.observe(second, request_sent);
+    let reply_sent = accurate.tick(second * 2);
+    let reply_received = ahead.observe(hour + second * 3, reply_sent);
     let merged = merge_events([
-        vec![event("right", "heard", heard), event("right", "answered", answered)],
-        vec![event("ahead", "asked", asked), event("ahead", "received", received)],
+        vec![
+            event("accurate", "request_received", request_received),
+            event("accurate", "reply_sent", reply_sent),
+        ],
+        vec![
+            event("ahead", "request_sent", request_sent),
+            event("ahead", "reply_received", reply_received),
+        ],
     ]);
     let kinds: Vec<&str> = merged.iter().map(|event| &*event.kind).collect();
-    assert_eq!(kinds, ["asked", "heard", "answered", "received"]);
+    assert_eq!(kinds, ["request_sent", "request_received", "reply_sent", "reply_received"]);
 }
 
-/// Without messages the stamps follow the wall clock, and never stand still or go back with it.
+/// Guards against stamps that repeat or decrease when the wall clock is set back.
 #[test]
-fn stamps_rise_though_the_clock_is_set_back() {
+fn stamps_increase_when_the_wall_clock_is_set_back() {
     let mut clock = CausalClock::default();
-    let late = clock.tick(Duration::from_secs(10));
-    let early = clock.tick(Duration::from_secs(5));
-    let later = clock.tick(Duration::from_secs(11));
-    assert!(late < early && early < later);
-    assert_eq!(later.wall_micros, 11_000_000);
+    let first = clock.tick(Duration::from_secs(10));
+    let second = clock.tick(Duration::from_secs(5));
+    let third = clock.tick(Duration::from_secs(11));
+    assert!(first < second && second < third);
+    assert_eq!(third.wall_micros, 11_000_000);
 }
