--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: one instance gives them at a time, and no more engines are away than allowed.
+//! Orders to engines come from one instance at a time, and rollouts limit unavailable engines.
 
 mod support;
 
@@ -15,19 +15,19 @@
 use support::{TestCluster, lose_replies, outage, run_paused, wait_until};
 use tokio::time::{Instant, sleep};
 
-/// A term, the clock error, and the time to notice a death and to claim.
-const FAILOVER: Duration = Duration::from_secs(30);
+/// Covers a lease term, the clock error, the detection of a failed holder and the next claim.
+const FAILOVER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Engines of a model of their own, and the instance that should order them.
-struct OrderedGroup {
+/// The engines of one model, and the instance that should hold the lease for them.
+struct EngineGroup {
     cluster: Rc<TestCluster>,
     engines: Vec<Rc<StandinEngine>>,
     model: &'static str,
     holder: usize,
 }
 
-impl OrderedGroup {
-    /// Model `f` is set up with engines that check fencing, model `m` with such that don't.
+impl EngineGroup {
+    /// Starts engines for model `f` if they check fencing tokens, else for model `m`.
     async fn start(count: usize, checks_fencing: bool) -> Self {
         let cluster = TestCluster::start(3).await;
         let model = if checks_fencing { "f" } else { "m" };
@@ -48,11 +48,11 @@
         let members: Vec<_> = (0..3).map(|index| cluster.node(index).instance().clone()).collect();
         let owners = assign_engines(vec![model.into()], &members);
         let holder = members.iter().position(|member| *member == owners[model]);
-        let holder = holder.expect("it has a holder");
+        let holder = holder.expect("the model is assigned to a member");
         Self { cluster, engines, model, holder }
     }
 
-    async fn want(&self, weights: &str, expected: u64, node: usize) -> u64 {
+    async fn set_weights(&self, weights: &str, expected: u64, node: usize) -> u64 {
         let spec = EngineGroupSpec {
             model: self.model.into(),
             artifacts: vec![artifact("base", weights), artifact("urdu", "v1")],
@@ -64,37 +64,37 @@
         node.change_config(body, expected).await.expect("accepted")
     }
 
-    async fn have(&self, weights: &str) -> bool {
+    async fn have_loaded(&self, weights: &str) -> bool {
         for engine in &self.engines {
             let state = engine.state().await.expect("no fault");
             let loaded = [artifact("base", weights), artifact("urdu", "v1")];
-            let whole = loaded.iter().all(|item| state.loaded.contains(item));
-            if !whole || state.loaded.len() != 2 || state.role != EngineRole::Decode {
+            let complete = loaded.iter().all(|item| state.loaded.contains(item));
+            if !complete || state.loaded.len() != 2 || state.role != EngineRole::Decode {
                 return false;
             }
         }
         true
     }
 
-    async fn until_have(&self, weights: &str) {
-        let limit = Instant::now() + Duration::from_secs(200);
-        while !self.have(weights).await {
-            assert!(Instant::now() < limit, "the engines never have {weights}");
+    async fn wait_until_loaded(&self, weights: &str) {
+        let deadline = Instant::now() + Duration::from_secs(200);
+        while !self.have_loaded(weights).await {
+            assert!(Instant::now() < deadline, "the engines have not loaded {weights} in time");
             sleep(Duration::from_millis(100)).await;
         }
     }
 
-    /// Fencing numbers of all orders taken, in the order of their times.
+    /// Fencing tokens of all accepted orders, sorted by the time of the order.
     fn fences(&self) -> Vec<u64> {
-        let mut taken: Vec<_> = self.engines.iter().flat_map(|engine| engine.orders()).collect();
-        taken.sort_by_key(|order| order.at);
-        taken.into_iter().map(|order| order.order.fence).collect()
+        let mut accepted: Vec<_> = self.engines.iter().flat_map(|engine| engine.orders()).collect();
+        accepted.sort_by_key(|order| order.at);
+        accepted.into_iter().map(|order| order.order.fence).collect()
     }
 
-    /// Lets the engines lose what they loaded again and again, so that any holder has orders to give.
-    async fn restart_engines(&self, span: Duration) {
-        let limit = Instant::now() + span;
-        while Instant::now() < limit {
+    /// Restarts the engines repeatedly; they lose their state, so any holder has orders to send.
+    async fn restart_engines(&self, duration: Duration) {
+        let deadline = Instant::now() + duration;
+        while Instant::now() < deadline {
             self.engines.iter().for_each(|engine| engine.restart());
             sleep(Duration::from_millis(700)).await;
         }
@@ -105,94 +105,91 @@
     EngineArtifact { name: name.into(), version: version.into() }
 }
 
-/// Callers find four of five engines at work at any time. Operators want new weights on ten
-/// engines, a fifth of them away at most; a load keeps an engine away for three seconds.
+/// Guards against a rollout that makes more engines unavailable than `max_away_percent` allows.
 #[test]
-fn a_rollout_keeps_engines_at_work() {
+fn rollout_respects_the_limit_of_unavailable_engines() {
     run_paused(async {
-        let group = OrderedGroup::start(10, false).await;
-        let version = group.want("v1", 0, 0).await;
-        group.until_have("v1").await;
-        let most = Rc::new(Cell::new(0));
-        let (engines, seen) = (group.engines.clone(), most.clone());
+        let group = EngineGroup::start(10, false).await;
+        let version = group.set_weights("v1", 0, 0).await;
+        group.wait_until_loaded("v1").await;
+        let peak = Rc::new(Cell::new(0));
+        let (engines, observed) = (group.engines.clone(), peak.clone());
         let watch = actix_rt::spawn(async move {
             loop {
-                let mut away = 0;
+                let mut unavailable = 0;
                 for engine in &engines {
-                    away += usize::from(engine.state().await.expect("no fault").busy);
+                    unavailable += usize::from(engine.state().await.expect("no fault").busy);
                 }
-                seen.set(seen.get().max(away));
+                observed.set(observed.get().max(unavailable));
                 sleep(Duration::from_millis(20)).await;
             }
         });
         let started = Instant::now();
-        group.want("v2", version, 1).await;
-        group.until_have("v2").await;
-        println!("10 engines took {:?}, {} away at most", started.elapsed(), most.get());
+        group.set_weights("v2", version, 1).await;
+        group.wait_until_loaded("v2").await;
+        println!("10 engines took {:?}, {} unavailable at most", started.elapsed(), peak.get());
         watch.abort();
-        assert!((1..=2).contains(&most.get()), "{} of 10 were away", most.get());
+        assert!((1..=2).contains(&peak.get()), "{} of 10 were unavailable", peak.get());
         assert!(group.fences().iter().all(|fence| *fence == 1), "{:?}", group.fences());
     });
 }
 
-/// Operators see each order given by one instance. The holder is cut off from store and members,
-/// yet reaches the engines, which lose their state again and again: it goes on ordering until it
-/// stops by its own clock, or until engines that check refuse its number.
+/// Guards against orders by a former holder that is partitioned from the store and the members but
+/// still reaches the engines.
 #[rstest]
 #[case::engines_ignore_fencing(false)]
 #[case::engines_check_fencing(true)]
-fn a_deposed_holder_orders_nothing(#[case] checks_fencing: bool) {
+fn partitioned_holder_stops_before_its_successor_orders(#[case] checks_fencing: bool) {
     run_paused(async move {
-        let group = OrderedGroup::start(5, checks_fencing).await;
-        group.want("v1", 0, 0).await;
-        group.until_have("v1").await;
+        let group = EngineGroup::start(5, checks_fencing).await;
+        group.set_weights("v1", 0, 0).await;
+        group.wait_until_loaded("v1").await;
         group.cluster.set_cut(group.holder, true);
         group.cluster.gates(group.holder).engines.set(FaultSettings::default());
-        group.restart_engines(FAILOVER * 2).await;
+        group.restart_engines(FAILOVER_TIMEOUT * 2).await;
         let fences = group.fences();
-        assert!(fences.is_sorted(), "an old holder ordered: {fences:?}");
-        assert_eq!(fences.last(), Some(&2), "a new holder orders");
+        assert!(fences.is_sorted(), "a former holder sent orders: {fences:?}");
+        assert_eq!(fences.last(), Some(&2), "a new holder sends orders");
     });
 }
 
-/// Operators see each order given by one instance. The holder is paused with its lease held: it
-/// neither renews nor hears anything. It wakes after another took over and goes on where it was.
+/// Guards against orders by a holder that resumes from a pause after another took over its lease.
 #[rstest]
 #[case::engines_ignore_fencing(false)]
 #[case::engines_check_fencing(true)]
-fn a_paused_holder_wakes_too_late(#[case] checks_fencing: bool) {
+fn paused_holder_sends_no_orders_after_its_lease_expired(#[case] checks_fencing: bool) {
     run_paused(async move {
-        let group = OrderedGroup::start(5, checks_fencing).await;
-        group.want("v1", 0, 0).await;
-        group.until_have("v1").await;
+        let group = EngineGroup::start(5, checks_fencing).await;
+        group.set_weights("v1", 0, 0).await;
+        group.wait_until_loaded("v1").await;
         group.cluster.freeze(group.holder);
-        group.restart_engines(FAILOVER * 2).await;
+        group.restart_engines(FAILOVER_TIMEOUT * 2).await;
         group.cluster.thaw(group.holder);
-        group.restart_engines(FAILOVER).await;
+        group.restart_engines(FAILOVER_TIMEOUT).await;
         let fences = group.fences();
-        assert!(fences.is_sorted(), "an old holder ordered: {fences:?}");
-        assert!(fences.contains(&2), "a new holder orders");
-        group.until_have("v1").await;
+        assert!(fences.is_sorted(), "a former holder sent orders: {fences:?}");
+        assert!(fences.contains(&2), "a new holder sends orders");
+        group.wait_until_loaded("v1").await;
     });
 }
 
-/// Operators see the rollout pause and then end. The store loses replies, to lease writes too, or
-/// fails for a minute; without the store no lease can be shown to hold, so nothing is ordered.
+/// Guards against orders without a provable lease while the store fails or loses replies, and
+/// against a rollout that does not continue afterwards.
 #[rstest]
 #[case::lost_replies(false)]
 #[case::outage(true)]
-fn orders_stop_without_the_store(#[case] fails: bool) {
+fn rollout_pauses_without_the_store_and_then_completes(#[case] fails: bool) {
     run_paused(async move {
-        let group = OrderedGroup::start(5, false).await;
-        let version = group.want("v1", 0, 0).await;
-        group.until_have("v1").await;
-        group.want("v2", version, 0).await;
+        let group = EngineGroup::start(5, false).await;
+        let version = group.set_weights("v1", 0, 0).await;
+        group.wait_until_loaded("v1").await;
+        group.set_weights("v2", version, 0).await;
         if fails {
             group.cluster.platform.faults.set(outage());
             sleep(Duration::from_secs(20)).await;
             let before = group.fences().len();
-            group.restart_engines(FAILOVER).await;
-            assert_eq!(group.fences().len(), before, "ordered without a lease");
+            group.restart_engines(FAILOVER_TIMEOUT).await;
+            assert_eq!(group.fences().len(), before, "orders were sent without a lease");
         } else {
             let slow = FaultSettings { delay_ms: 10, ..lose_replies(1) };
             for _ in 0..1_000 {
@@ -201,7 +198,7 @@
             }
         }
         group.cluster.platform.faults.set(FaultSettings::default());
-        group.until_have("v2").await;
+        group.wait_until_loaded("v2").await;
         assert!(group.fences().is_sorted(), "{:?}", group.fences());
         wait_until(|| !group.fences().is_empty()).await;
     });
