--- a/src/core/ids.rs
+++ b/src/core/ids.rs
@@ -2,7 +2,6 @@
 
 use derive_more::{Display, Error};
 
-/// Name of an instance, as set in its configuration.
 pub type InstanceId = Box<str>;
 /// Number of one run of an instance; increases with every start of any instance, never reused.
 pub type Incarnation = u64;
@@ -20,7 +19,6 @@
 pub type WorkspaceId = Box<str>;
 pub type UpstreamId = Box<str>;
 pub type DefinitionName = Box<str>;
-/// Prompt and generated tokens.
 pub type Tokens = u64;
 /// Number of a configuration change; 0 before the first one.
 pub type ConfigVersion = u64;
--- a/src/core/orders/lease.rs
+++ b/src/core/orders/lease.rs
@@ -42,8 +42,6 @@
     observed_at: Instant,
 }
 
-/// One instance's view of a lease.
-///
 /// Wall clocks of different instances are never compared. The holder counts the term from before
 /// it sent its last renewal and the others from a later moment, so the holder's term ends first
 /// if drift stays within `clock_error`. A holder that was paused must check
@@ -89,9 +87,7 @@
         write(row)
     }
 
-    /// Records that the store confirmed a row of [`OrderLease::plan`].
-    ///
-    /// `sent` is a time before the write was sent.
+    /// To be called when the store has confirmed a write of `row` that was sent at `sent` or later.
     pub fn record_write(&mut self, row: &LeaseRow, settings: &LeaseSettings, sent: Instant) {
         let held = row.holder.is_some();
         self.held = held.then_some((row.fence, sent + settings.term));
--- a/src/core/orders/rollout.rs
+++ b/src/core/orders/rollout.rs
@@ -11,7 +11,6 @@
 /// Rises with each holder of a lease; an engine may refuse a lower token than it has seen.
 pub type FencingToken = u64;
 
-/// The phases of a call that an engine runs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize, Display)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
@@ -45,7 +44,6 @@
     },
 }
 
-/// An order as sent to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencedOrder {
     pub fence: FencingToken,
--- a/src/core/ownership/row.rs
+++ b/src/core/ownership/row.rs
@@ -25,7 +25,6 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JournalSpan {
     pub incarnation: Incarnation,
-    /// First batch.
     pub from: u64,
     /// Batch after the last; absent while the incarnation writes to the span.
     pub until: Option<u64>,
@@ -48,7 +47,7 @@
         let mut row = self.clone();
         row.owner = None;
         if let Some(last) = row.spans.last_mut() {
-            // After a checkpoint has trimmed the journal, `sequence` may precede the start of the span.
+            // After a checkpoint has trimmed the journal, `sequence` may precede the span's start.
             let until = sequence.max(last.from);
             last.until.get_or_insert(until);
         }
--- a/src/core/ownership/table.rs
+++ b/src/core/ownership/table.rs
@@ -6,7 +6,6 @@
 use super::row::{ShardOwner, ShardRow};
 use crate::core::ids::{Incarnation, InstanceId, ShardId};
 
-/// A shard's row as last read.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ShardView {
     pub row: ShardRow,
@@ -52,7 +51,6 @@
         self.views.len() as ShardId
     }
 
-    /// Recomputes the desired owners.
     pub fn set_members(&mut self, members: &[InstanceId]) {
         self.desired = assign_shards(self.shards(), members);
     }
--- a/src/core/timeline/mod.rs
+++ b/src/core/timeline/mod.rs
@@ -27,7 +27,6 @@
     pub counter: u32,
 }
 
-/// The hybrid logical clock of one instance.
 #[derive(Debug, Default)]
 pub struct CausalClock {
     last: CausalStamp,
@@ -114,7 +113,6 @@
     }
 }
 
-/// Merges the events of several instances in causal order.
 pub fn merge_events(batches: impl IntoIterator<Item = Vec<TimelineEvent>>) -> Vec<TimelineEvent> {
     let mut merged: Vec<TimelineEvent> = batches.into_iter().flatten().collect();
     merged.sort_by(|a, b| (a.stamp, &a.instance).cmp(&(b.stamp, &b.instance)));
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -18,7 +18,6 @@
 /// Covers a lease term, the clock error, the detection of a failed holder and the next claim.
 const FAILOVER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The engines of one model, and the instance that should hold the lease for them.
 struct EngineGroup {
     cluster: Rc<TestCluster>,
     engines: Vec<Rc<StandinEngine>>,
@@ -134,8 +133,7 @@
     });
 }
 
-/// Guards against orders by a former holder that is partitioned from the store and the members but
-/// still reaches the engines.
+/// Guards against orders by a former holder that is partitioned from the store and the members.
 #[rstest]
 #[case::engines_ignore_fencing(false)]
 #[case::engines_check_fencing(true)]
--- a/tests/timeline.rs
+++ b/tests/timeline.rs
@@ -16,8 +16,7 @@
     }
 }
 
-/// Guards against merging by wall clock, which would sort a reply before its request if the sender
-/// of the request has a clock an hour ahead.
+/// Guards against merging by wall clock, which would sort the reply before its request.
 #[test]
 fn effects_are_sorted_after_their_causes_despite_clock_skew() {
     let (mut ahead, mut accurate) = (CausalClock::default(), CausalClock::default());
