--- a/src/core/orders/lease.rs
+++ b/src/core/orders/lease.rs
@@ -32,7 +32,10 @@
 pub enum LeaseAction {
     Wait,
     /// Write this row if the stored row still has this version.
-    Write { row: LeaseRow, version: u64 },
+    Write {
+        row: LeaseRow,
+        version: u64,
+    },
 }
 
 #[derive(Debug, Clone)]
--- a/src/node/peers/network.rs
+++ b/src/node/peers/network.rs
@@ -16,7 +16,9 @@
 use super::codec::{encode_gossip, read_stamp, write_permit, write_stamp};
 use super::{PeerError, PeerNetwork, PermitReply, PermitRequest};
 use crate::core::config::ConfigChange;
-use crate::core::ids::{CallNumber, ConfigVersion, PermitId, ProgramId, ShardId, format_program_id};
+use crate::core::ids::{
+    CallNumber, ConfigVersion, PermitId, ProgramId, ShardId, format_program_id,
+};
 use crate::core::members::{GossipMessage, MemberInfo};
 use crate::core::outcome::{CallOutcome, CallRefusal, UnknownCall};
 use crate::core::timeline::CausalStamp;
