--- a/src/node/instance.rs
+++ b/src/node/instance.rs
@@ -27,7 +27,7 @@
 use crate::core::config::ConfigView;
 use crate::core::history::ProgramBook;
 use crate::core::ids::{
-    CallNumber, Incarnation, InstanceId, ProgramId, ShardId, Tokens, program_text,
+    CallNumber, Incarnation, InstanceId, ProgramId, ShardId, Tokens, format_program_id,
 };
 use crate::core::members::{MemberInfo, MemberLoad, MemberSettings, MemberState, MemberTable};
 use crate::core::outcome::{CallOutcome, UnknownCall};
@@ -337,7 +337,7 @@
     /// Shards must not be adopted on their word: their programs may have moved on elsewhere, and
     /// callers would be told of a history that lacks its last turns.
     pub(crate) fn note_fenced(&self) {
-        self.shards.borrow_mut().forget_all();
+        self.shards.borrow_mut().clear_phases();
         self.journal.set_fenced();
     }
 
@@ -412,7 +412,7 @@
 
 impl EventBuilder<'_> {
     pub(crate) fn program(mut self, program: ProgramId) -> Self {
-        self.event.program = program_text(program);
+        self.event.program = format_program_id(program);
         self
     }
 
