--- a/src/core/members/groups.rs
+++ b/src/core/members/groups.rs
@@ -4,11 +4,11 @@
 
 /// Who does a work for one member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum GroupPlace<'a> {
+pub enum GroupRole<'a> {
     /// It does the work itself, and for others.
-    Leads,
+    Leader,
     /// This one does it.
-    Follows(&'a str),
+    Follower(&'a str),
 }
 
 /// One of `span` members, those with the lowest hashes.
@@ -35,35 +35,35 @@
 }
 
 /// Who does a work for `me`, where one of `span` members does it for all.
-pub fn group_place<'a>(
+pub fn group_role<'a>(
     work: &str,
     me: &str,
     span: usize,
     members: impl IntoIterator<Item = &'a str>,
-) -> GroupPlace<'a> {
+) -> GroupRole<'a> {
     let leaders = leaders(work, span, members);
     if leaders.contains(&me) {
-        return GroupPlace::Leads;
+        return GroupRole::Leader;
     }
-    favourite(me, leaders).map_or(GroupPlace::Leads, GroupPlace::Follows)
+    favourite(me, leaders).map_or(GroupRole::Leader, GroupRole::Follower)
 }
 
 /// Who does a work for `me` in a tree: one of `span` members does it for the others, and so on among
 /// those, until no more than `roots` are left that do it by themselves.
-pub fn tree_place<'a>(
+pub fn tree_role<'a>(
     work: &str,
     me: &str,
     span: usize,
     roots: usize,
     members: impl IntoIterator<Item = &'a str>,
-) -> GroupPlace<'a> {
+) -> GroupRole<'a> {
     let mut level = leaders(work, span, members);
     loop {
         if !level.contains(&me) {
-            return favourite(me, level).map_or(GroupPlace::Leads, GroupPlace::Follows);
+            return favourite(me, level).map_or(GroupRole::Leader, GroupRole::Follower);
         }
         if level.len() <= roots {
-            return GroupPlace::Leads;
+            return GroupRole::Leader;
         }
         level = leaders(work, span, level);
     }
--- a/src/gateway/members/roles.rs
+++ b/src/gateway/members/roles.rs
@@ -3,7 +3,7 @@
 use rand::seq::SliceRandom;
 
 use super::{MemberView, is_offered};
-use crate::core::members::{GroupPlace, MemberInfo, MemberState, group_place, tree_place};
+use crate::core::members::{GroupRole, MemberInfo, MemberState, group_role, tree_role};
 use crate::core::quotas::{LimiterStanding, QuotaMember};
 use crate::gateway::news::NewsReaders;
 use crate::gateway::quotas::QuotaPeers;
@@ -70,8 +70,8 @@
         let me = table.me();
         let near = table.iter().filter(|member| is_offered(member) && member.zone == me.zone);
         let names = near.map(|member| &*member.instance);
-        let place = tree_place("news", &me.instance, READER_SPAN, READER_ROOTS, names);
-        let GroupPlace::Follows(reader) = place else { return None };
+        let place = tree_role("news", &me.instance, READER_SPAN, READER_ROOTS, names);
+        let GroupRole::Follower(reader) = place else { return None };
         let reader = table.iter().find(|member| *member.instance == *reader)?;
         Some(reader.rpc_address.clone())
     }
@@ -81,6 +81,6 @@
         let me = table.me();
         let near = table.iter().filter(|member| is_offered(member) && member.zone == me.zone);
         let names = near.map(|member| &*member.instance);
-        group_place("news", &me.instance, READER_SPAN, names) == GroupPlace::Leads
+        group_role("news", &me.instance, READER_SPAN, names) == GroupRole::Leader
     }
 }
--- a/tests/coordinator_choice.rs
+++ b/tests/coordinator_choice.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use merlinsaddle::core::members::{GroupPlace, group_place};
+use merlinsaddle::core::members::{GroupRole, group_role};
 use merlinsaddle::core::turns::{CoordinatorSpan, coordinator};
 use tokio::time::Instant;
 
@@ -59,9 +59,9 @@
     let mut followers = std::collections::BTreeMap::new();
     let mut leaders = 0;
     for me in &names {
-        match group_place("news", me, 16, names.iter().map(|name| &**name)) {
-            GroupPlace::Leads => leaders += 1,
-            GroupPlace::Follows(leader) => *followers.entry(leader).or_insert(0) += 1,
+        match group_role("news", me, 16, names.iter().map(|name| &**name)) {
+            GroupRole::Leader => leaders += 1,
+            GroupRole::Follower(leader) => *followers.entry(leader).or_insert(0) += 1,
         }
     }
     assert_eq!(leaders, 4);
--- a/tests/news_readers.rs
+++ b/tests/news_readers.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use merlinsaddle::core::members::{GroupPlace, group_place, tree_place};
+use merlinsaddle::core::members::{GroupRole, group_role, tree_role};
 use platform_standin::store::StoreFault;
 use platform_standin::{Deployment, TestGateway, call, default_routes, route, wait_until};
 use rstest::rstest;
@@ -19,7 +19,7 @@
     let names: Vec<String> =
         others.iter().chain([&ip]).map(|ip| TestGateway::instance(ip)).collect();
     let names = names.iter().map(|name| &**name);
-    group_place("news", &TestGateway::instance(ip), SPAN, names) == GroupPlace::Leads
+    group_role("news", &TestGateway::instance(ip), SPAN, names) == GroupRole::Leader
 }
 
 /// Two instances, of which the second reads the news for both and reaches the store by a way of its own.
@@ -137,13 +137,13 @@
 #[case(2_000, 1, 3)]
 fn news_come_by_a_tree(#[case] members: usize, #[case] roots: usize, #[case] depth: usize) {
     let names: Vec<String> = (0..members).map(|number| format!("instance-{number}")).collect();
-    let place = |me: &str| tree_place("news", me, 16, 4, names.iter().map(|name| &**name));
+    let place = |me: &str| tree_role("news", me, 16, 4, names.iter().map(|name| &**name));
     let mut followers: BTreeMap<&str, usize> = BTreeMap::new();
     let mut own = 0;
     for name in &names {
         let mut hops = 0;
         let mut at = &**name;
-        while let GroupPlace::Follows(reader) = place(at) {
+        while let GroupRole::Follower(reader) = place(at) {
             if hops == 0 {
                 *followers.entry(reader).or_default() += 1;
             }
