--- a/src/core/members/groups.rs
+++ b/src/core/members/groups.rs
@@ -29,7 +29,10 @@
 
 /// The favourite of a key among some members. When the members change, only the keys of those that
 /// came or went move.
-pub fn favourite<'a>(key: &str, members: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
+pub fn preferred_member<'a>(
+    key: &str,
+    members: impl IntoIterator<Item = &'a str>,
+) -> Option<&'a str> {
     let weight = |member: &str| xxh3_64(format!("{key}/{member}").as_bytes());
     members.into_iter().max_by_key(|member| weight(member))
 }
@@ -45,7 +48,7 @@
     if leaders.contains(&me) {
         return GroupRole::Leader;
     }
-    favourite(me, leaders).map_or(GroupRole::Leader, GroupRole::Follower)
+    preferred_member(me, leaders).map_or(GroupRole::Leader, GroupRole::Follower)
 }
 
 /// Who does a work for `me` in a tree: one of `span` members does it for the others, and so on among
@@ -60,7 +63,7 @@
     let mut level = leaders(work, span, members);
     loop {
         if !level.contains(&me) {
-            return favourite(me, level).map_or(GroupRole::Leader, GroupRole::Follower);
+            return preferred_member(me, level).map_or(GroupRole::Leader, GroupRole::Follower);
         }
         if level.len() <= roots {
             return GroupRole::Leader;
--- a/src/core/turns/coordinator.rs
+++ b/src/core/turns/coordinator.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use crate::core::members::{favourite, leaders};
+use crate::core::members::{leaders, preferred_member};
 
 /// Instances for each coordinator where they are busy: enough turns meet at it that most records travel
 /// with another turn's reservation.
@@ -60,7 +60,7 @@
     span: usize,
     members: impl IntoIterator<Item = &'a str>,
 ) -> Option<&'a str> {
-    favourite(program, coordinators(span, members))
+    preferred_member(program, coordinators(span, members))
 }
 
 /// The members of a zone that coordinate programs, one of `span`.
--- a/src/gateway/members/mod.rs
+++ b/src/gateway/members/mod.rs
@@ -14,7 +14,7 @@
 use crate::core::ids::{ConfigVersion, InstanceId};
 use crate::core::members::{
     GossipMessage, MemberAction, MemberInfo, MemberLoad, MemberSettings, MemberState, MemberTable,
-    favourite,
+    preferred_member,
 };
 use crate::core::timeline::CausalClock;
 use crate::core::turns::{CoordinatorSpan, ProgramName, coordinator, coordinators};
@@ -181,7 +181,7 @@
         let span = self.span.get().instances();
         let coordinators = coordinators(span, near.map(|member| &*member.instance));
         let others = programs.into_iter().filter(|program| {
-            favourite(program, coordinators.iter().copied()) != Some(&*me.instance)
+            preferred_member(program, coordinators.iter().copied()) != Some(&*me.instance)
         });
         others.cloned().collect()
     }
