--- a/src/core/members/groups.rs
+++ b/src/core/members/groups.rs
@@ -15,15 +15,15 @@
 ///
 /// All that agree on the members name the same leaders without a word.
 pub fn leaders<'a>(
-    work: &str,
-    span: usize,
+    job: &str,
+    group_size: usize,
     members: impl IntoIterator<Item = &'a str>,
 ) -> Vec<&'a str> {
     let rank = |member: &str| xxh3_64(format!("{work}/{member}").as_bytes());
     let mut ranked: Vec<(u64, &str)> =
         members.into_iter().map(|member| (rank(member), member)).collect();
     ranked.sort_unstable();
-    ranked.truncate(ranked.len().div_ceil(span));
+    ranked.truncate(ranked.len().div_ceil(group_size));
     ranked.into_iter().map(|(_, member)| member).collect()
 }
 
@@ -39,12 +39,12 @@
 
 /// Who does a work for `me`, where one of `span` members does it for all.
 pub fn group_role<'a>(
-    work: &str,
+    job: &str,
     me: &str,
-    span: usize,
+    group_size: usize,
     members: impl IntoIterator<Item = &'a str>,
 ) -> GroupRole<'a> {
-    let leaders = leaders(work, span, members);
+    let leaders = leaders(job, group_size, members);
     if leaders.contains(&me) {
         return GroupRole::Leader;
     }
@@ -54,20 +54,20 @@
 /// Who does a work for `me` in a tree: one of `span` members does it for the others, and so on among
 /// those, until no more than `roots` are left that do it by themselves.
 pub fn tree_role<'a>(
-    work: &str,
+    job: &str,
     me: &str,
-    span: usize,
-    roots: usize,
+    group_size: usize,
+    max_roots: usize,
     members: impl IntoIterator<Item = &'a str>,
 ) -> GroupRole<'a> {
-    let mut level = leaders(work, span, members);
+    let mut level = leaders(job, group_size, members);
     loop {
         if !level.contains(&me) {
             return preferred_member(me, level).map_or(GroupRole::Leader, GroupRole::Follower);
         }
-        if level.len() <= roots {
+        if level.len() <= max_roots {
             return GroupRole::Leader;
         }
-        level = leaders(work, span, level);
+        level = leaders(job, group_size, level);
     }
 }
