--- a/src/core/members/message.rs
+++ b/src/core/members/message.rs
@@ -24,7 +24,8 @@
     Leaving,
     /// Leaving, and suspect.
     #[display("doubted")]
-    Doubted,
+    #[serde(rename = "doubted")]
+    LeavingSuspect,
     #[display("dead")]
     Dead,
 }
@@ -72,7 +73,7 @@
 impl MemberState {
     /// Whether the member has to answer for itself before it is taken for dead.
     pub fn is_suspect(self) -> bool {
-        matches!(self, Self::Suspect | Self::Doubted)
+        matches!(self, Self::Suspect | Self::LeavingSuspect)
     }
 }
 
--- a/src/core/members/table.rs
+++ b/src/core/members/table.rs
@@ -296,8 +296,10 @@
             MemberState::Alive => entry.info.state = MemberState::Suspect,
             // A leaving member finishes its calls; taken for dead at one lost datagram, it would
             // lose its shards and cut them off.
-            MemberState::Leaving => entry.info.state = MemberState::Doubted,
-            MemberState::Suspect | MemberState::Doubted | MemberState::Dead => return Vec::new(),
+            MemberState::Leaving => entry.info.state = MemberState::LeavingSuspect,
+            MemberState::Suspect | MemberState::LeavingSuspect | MemberState::Dead => {
+                return Vec::new();
+            }
         }
         entry.since = now;
         entry.sent = 0;
--- a/src/gateway/members/roles.rs
+++ b/src/gateway/members/roles.rs
@@ -29,7 +29,7 @@
             MemberState::Alive => Some(LimiterStanding::Alive),
             MemberState::Suspect => Some(LimiterStanding::Suspect),
             MemberState::Dead => Some(LimiterStanding::Gone),
-            MemberState::Leaving | MemberState::Doubted => None,
+            MemberState::Leaving | MemberState::LeavingSuspect => None,
         };
         let table = self.table.borrow();
         let member = |info: &MemberInfo| {
--- a/src/node/peers/codec.rs
+++ b/src/node/peers/codec.rs
@@ -123,7 +123,7 @@
         MemberState::Suspect => WireState::Suspect,
         MemberState::Leaving => WireState::Leaving,
         MemberState::Dead => WireState::Dead,
-        MemberState::Doubted => WireState::Doubted,
+        MemberState::LeavingSuspect => WireState::Doubted,
     });
     builder.set_zone(&*update.zone);
     builder.set_http_address(&*update.http_address);
@@ -145,7 +145,7 @@
             WireState::Suspect => MemberState::Suspect,
             WireState::Leaving => MemberState::Leaving,
             WireState::Dead => MemberState::Dead,
-            WireState::Doubted => MemberState::Doubted,
+            WireState::Doubted => MemberState::LeavingSuspect,
         },
         zone: text(reader.get_zone()?)?,
         http_address: text(reader.get_http_address()?)?,
