--- a/src/core/members/spread.rs
+++ b/src/core/members/spread.rs
@@ -78,7 +78,7 @@
         let about_me = update.incarnation == self.me.incarnation;
         if wrong && about_me && update.revision >= self.me.revision {
             self.me.revision = update.revision;
-            self.doubts += 1;
+            self.suspicions += 1;
             self.bump_me();
         }
     }
@@ -95,8 +95,8 @@
     fn remind(&self, to: &str, updates: &mut Vec<MemberInfo>) {
         let receiver = self.members.values().find(|entry| *entry.info.gossip_address == *to);
         let Some(info) = receiver.map(|entry| &entry.info) else { return };
-        let doubted = info.state.is_suspect() || info.state == MemberState::Dead;
-        if doubted && !updates.contains(info) {
+        let suspected = info.state.is_suspect() || info.state == MemberState::Dead;
+        if suspected && !updates.contains(info) {
             updates.push(info.clone());
         }
     }
--- a/src/core/members/table.rs
+++ b/src/core/members/table.rs
@@ -100,7 +100,7 @@
     sequence: u32,
     pub(super) rng: SmallRng,
     pub(super) changes: u64,
-    pub(super) doubts: u64,
+    pub(super) suspicions: u64,
 }
 
 /// A tick this much later than planned means that this process was paused.
@@ -126,7 +126,7 @@
             sequence: rng.random(),
             rng,
             changes: 0,
-            doubts: 0,
+            suspicions: 0,
         }
     }
 
@@ -140,8 +140,8 @@
     }
 
     /// Rises whenever others thought that this instance had failed, and it refuted that.
-    pub fn doubts(&self) -> u64 {
-        self.doubts
+    pub fn suspicions(&self) -> u64 {
+        self.suspicions
     }
 
     pub fn get(&self, instance: &str) -> Option<&MemberInfo> {
@@ -226,11 +226,11 @@
 
     /// To be called often; sends at most one round of probes an interval.
     pub fn tick(&mut self, now: Instant) -> Vec<MemberAction> {
-        self.doubt_self_after_pause(now);
+        self.reset_after_pause(now);
         let mut actions = self.expire_suspects(now);
-        let patience = self.settings.probe_interval * 2;
-        self.relayed.retain(|ping| now - ping.started < patience);
-        self.pending.retain(|ping| now - ping.sent < patience);
+        let timeout = self.settings.probe_interval * 2;
+        self.relayed.retain(|ping| now - ping.started < timeout);
+        self.pending.retain(|ping| now - ping.sent < timeout);
         actions.extend(self.probe_indirectly(now));
         if now >= self.next_probe {
             actions.extend(self.conclude_probe(now));
@@ -242,7 +242,7 @@
 
     /// After a pause every ack is overdue and every suspicion has run out, though nobody else
     /// failed: the paused instance would declare its peers dead. It starts its rounds anew.
-    fn doubt_self_after_pause(&mut self, now: Instant) {
+    fn reset_after_pause(&mut self, now: Instant) {
         let limit = self.settings.probe_interval * PAUSE_FACTOR;
         let paused = self.last_tick.is_some_and(|last| now - last > limit);
         self.last_tick = Some(now);
@@ -258,8 +258,8 @@
     fn expire_suspects(&mut self, now: Instant) -> Vec<MemberAction> {
         let mut actions = Vec::new();
         for entry in self.members.values_mut() {
-            let lapsed = now - entry.since >= self.settings.suspicion;
-            if entry.info.state.is_suspect() && lapsed {
+            let expired = now - entry.since >= self.settings.suspicion;
+            if entry.info.state.is_suspect() && expired {
                 entry.info.state = MemberState::Dead;
                 entry.since = now;
                 entry.sent = 0;
--- a/src/gateway/members/roles.rs
+++ b/src/gateway/members/roles.rs
@@ -17,7 +17,7 @@
 
 impl QuotaPeers for MemberView {
     fn doubts(&self) -> u64 {
-        self.table.borrow().doubts()
+        self.table.borrow().suspicions()
     }
 
     fn changes(&self) -> u64 {
