--- a/src/core/members/table.rs
+++ b/src/core/members/table.rs
@@ -20,7 +20,7 @@
     pub probe_timeout: Duration,
     pub indirect_probes: usize,
     /// A suspect that has not refuted for so long is dead.
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
     /// Updates in one datagram.
     pub max_updates: usize,
     /// A dead member is forgotten after this.
@@ -33,7 +33,7 @@
             probe_interval: Duration::from_millis(500),
             probe_timeout: Duration::from_millis(150),
             indirect_probes: 3,
-            suspicion: Duration::from_secs(2),
+            suspicion_timeout: Duration::from_secs(2),
             max_updates: 8,
             forget_after: Duration::from_secs(120),
         }
@@ -258,7 +258,7 @@
     fn expire_suspects(&mut self, now: Instant) -> Vec<MemberAction> {
         let mut actions = Vec::new();
         for entry in self.members.values_mut() {
-            let expired = now - entry.since >= self.settings.suspicion;
+            let expired = now - entry.since >= self.settings.suspicion_timeout;
             if entry.info.state.is_suspect() && expired {
                 entry.info.state = MemberState::Dead;
                 entry.since = now;
--- a/src/gateway/members/mod.rs
+++ b/src/gateway/members/mod.rs
@@ -79,7 +79,8 @@
             gossip_address: settings.gossip_address(&settings.peer_address),
             load: MemberLoad::default(),
         };
-        let member_settings = MemberSettings { suspicion: SUSPICION, ..MemberSettings::default() };
+        let member_settings =
+            MemberSettings { suspicion_timeout: SUSPICION, ..MemberSettings::default() };
         let table = MemberTable::new(member_settings, me, seed, Instant::now());
         Self {
             table: RefCell::new(table),
