--- a/src/core/members/table.rs
+++ b/src/core/members/table.rs
@@ -182,7 +182,7 @@
     }
 
     /// Asks any member for everybody.
-    pub fn ask_around(&mut self) -> Vec<MemberAction> {
+    pub fn request_member_list(&mut self) -> Vec<MemberAction> {
         let any = self.random_members(1, None);
         any.into_iter().map(|to| self.send(to, 0, GossipBody::Join)).collect()
     }
--- a/src/gateway/members/mod.rs
+++ b/src/gateway/members/mod.rs
@@ -211,7 +211,7 @@
         loop {
             if rounds.next_if(|after| begun.elapsed() >= **after).is_some() {
                 next_join = Instant::now();
-                let actions = self.table.borrow_mut().ask_around();
+                let actions = self.table.borrow_mut().request_member_list();
                 self.perform(actions);
             }
             if Instant::now() >= next_join {
