--- a/src/bench/members/sim.rs
+++ b/src/bench/members/sim.rs
@@ -233,7 +233,7 @@
         for change in &self.log[from..version as usize] {
             self.nodes[node].config.apply(change);
         }
-        let actions = self.nodes[node].members.spread(now);
+        let actions = self.nodes[node].members.push_updates(now);
         self.perform(node, actions);
     }
 
--- a/src/core/members/mod.rs
+++ b/src/core/members/mod.rs
@@ -1,9 +1,9 @@
 //! Which instances are there: a gossiping failure detector with indirect probes and suspicion; and who
 //! of them does a work for the others.
 
+mod dissemination;
 mod groups;
 mod message;
-mod spread;
 mod table;
 
 pub use groups::{GroupRole, group_role, leaders, preferred_member, tree_role};
--- a/src/core/members/table.rs
+++ b/src/core/members/table.rs
@@ -191,11 +191,11 @@
     pub fn leave(&mut self, now: Instant) -> Vec<MemberAction> {
         self.me.state = MemberState::Leaving;
         self.bump_me();
-        self.spread(now)
+        self.push_updates(now)
     }
 
     /// Tells a few members at once what there is to tell.
-    pub fn spread(&mut self, now: Instant) -> Vec<MemberAction> {
+    pub fn push_updates(&mut self, now: Instant) -> Vec<MemberAction> {
         let targets = self.random_members(self.settings.indirect_probes, None);
         targets.into_iter().map(|to| self.ping_address(to, now)).collect()
     }
--- a/src/gateway/members/mod.rs
+++ b/src/gateway/members/mod.rs
@@ -119,7 +119,7 @@
         let actions = {
             let mut table = self.table.borrow_mut();
             table.set_http_address(address);
-            table.spread(Instant::now())
+            table.push_updates(Instant::now())
         };
         self.perform(actions);
     }
@@ -134,7 +134,7 @@
                 return false;
             }
             table.set_http_address("");
-            table.spread(Instant::now())
+            table.push_updates(Instant::now())
         };
         self.perform(actions);
         true
--- a/src/node/config_sync.rs
+++ b/src/node/config_sync.rs
@@ -177,7 +177,7 @@
 
     /// Tells a few members of a new version at once; they fetch it and tell others in turn.
     fn announce_config(&self) {
-        let actions = self.members.borrow_mut().spread(Instant::now());
+        let actions = self.members.borrow_mut().push_updates(Instant::now());
         self.perform(actions);
     }
 
