--- a/src/core/members/dissemination.rs
+++ b/src/core/members/dissemination.rs
@@ -12,27 +12,27 @@
 /// the least: with 8, a refutation was lost among 30 members at 5% loss and a living one was taken
 /// for dead. With more, the joins of a restart of hundreds fill all datagrams for minutes.
 const RETRANSMIT_FACTOR: u32 = 5;
-const RETRANSMIT_LEAST: u32 = 16;
+const MIN_RETRANSMITS: u32 = 16;
 /// Count of an entry that is not passed on.
-const TOLD_TO_NOBODY: u32 = u32::MAX;
+const NOT_FORWARDED: u32 = u32::MAX;
 /// Members in one answer to a newcomer.
-const JOIN_CHUNK: usize = 8;
+const MAX_JOIN_REPLY_UPDATES: usize = 8;
 
 impl MemberTable {
-    pub(super) fn welcome(&mut self, newcomer: Box<str>) -> Vec<MemberAction> {
-        let known = self.members.values().filter(|entry| entry.sent != TOLD_TO_NOBODY);
+    pub(super) fn answer_join(&mut self, joining_member: Box<str>) -> Vec<MemberAction> {
+        let known = self.members.values().filter(|entry| entry.sent != NOT_FORWARDED);
         let others = known.map(|entry| entry.info.clone());
         let everyone: Vec<_> = std::iter::once(self.me.clone()).chain(others).collect();
         let mut actions = Vec::new();
-        for chunk in everyone.chunks(JOIN_CHUNK) {
+        for chunk in everyone.chunks(MAX_JOIN_REPLY_UPDATES) {
             let mut message = self.message(0, GossipBody::Ack);
             message.updates = chunk.to_vec();
-            actions.push(MemberAction::Send { to: newcomer.clone(), message });
+            actions.push(MemberAction::Send { to: joining_member.clone(), message });
         }
         actions
     }
 
-    pub(super) fn learn(&mut self, update: &MemberInfo, now: Instant) -> Vec<MemberAction> {
+    pub(super) fn apply_update(&mut self, update: &MemberInfo, now: Instant) -> Vec<MemberAction> {
         if update.instance == self.me.instance {
             self.refute(update);
             return Vec::new();
@@ -58,7 +58,7 @@
             // send callers to a machine that is gone. It is told to nobody: passed on from one newcomer
             // to the next, it would never be forgotten.
             None if update.state == MemberState::Dead => {
-                let entry = MemberEntry { info: update.clone(), since: now, sent: TOLD_TO_NOBODY };
+                let entry = MemberEntry { info: update.clone(), since: now, sent: NOT_FORWARDED };
                 self.members.insert(update.instance.clone(), entry);
                 return Vec::new();
             }
@@ -86,13 +86,13 @@
     pub(super) fn send(&mut self, to: Box<str>, sequence: u32, body: GossipBody) -> MemberAction {
         let mut message = self.message(sequence, body);
         message.updates = self.pick_updates();
-        self.remind(&to, &mut message.updates);
+        self.add_receiver_suspicion(&to, &mut message.updates);
         MemberAction::Send { to, message }
     }
 
     /// Adds what is thought of the receiver if it is thought to fail, so that it can refute at
     /// once: the news may have gone round without reaching it.
-    fn remind(&self, to: &str, updates: &mut Vec<MemberInfo>) {
+    fn add_receiver_suspicion(&self, to: &str, updates: &mut Vec<MemberInfo>) {
         let receiver = self.members.values().find(|entry| *entry.info.gossip_address == *to);
         let Some(info) = receiver.map(|entry| &entry.info) else { return };
         let suspected = info.state.is_suspect() || info.state == MemberState::Dead;
@@ -119,7 +119,7 @@
     /// neither: it would be half of all bytes.
     fn pick_updates(&mut self) -> Vec<MemberInfo> {
         let members = self.members.len() as u32 + 1;
-        let limit = (RETRANSMIT_FACTOR * (members.ilog10() + 1)).max(RETRANSMIT_LEAST);
+        let limit = (RETRANSMIT_FACTOR * (members.ilog10() + 1)).max(MIN_RETRANSMITS);
         let mut fresh: Vec<_> = self.members.values_mut().filter(|e| e.sent < limit).collect();
         let jitter: u32 = self.rng.random();
         fresh.sort_by_key(|entry| {
--- a/src/core/members/table.rs
+++ b/src/core/members/table.rs
@@ -106,7 +106,7 @@
 /// A tick this much later than planned means that this process was paused.
 const PAUSE_FACTOR: u32 = 3;
 /// Members that a newcomer asks at a time; each answers with the whole list.
-const JOIN_SEEDS: usize = 3;
+const MAX_JOIN_SEEDS: usize = 3;
 
 impl MemberTable {
     pub fn new(settings: MemberSettings, me: MemberInfo, seed: u64, now: Instant) -> Self {
@@ -177,7 +177,7 @@
         let me = self.me.gossip_address.clone();
         let mut others: Vec<_> = seeds.into_iter().filter(|seed| *seed != me).collect();
         others.shuffle(&mut self.rng);
-        others.truncate(JOIN_SEEDS);
+        others.truncate(MAX_JOIN_SEEDS);
         others.into_iter().map(|seed| self.send(seed, 0, GossipBody::Join)).collect()
     }
 
@@ -352,7 +352,7 @@
     pub fn receive(&mut self, message: &GossipMessage, now: Instant) -> Vec<MemberAction> {
         let mut actions = Vec::new();
         for update in &message.updates {
-            actions.extend(self.learn(update, now));
+            actions.extend(self.apply_update(update, now));
         }
         let sender = message.from_address.clone();
         match &message.body {
@@ -370,7 +370,7 @@
                 });
                 actions.push(self.send(target.clone(), sequence, GossipBody::Ping));
             }
-            GossipBody::Join => actions.extend(self.welcome(sender)),
+            GossipBody::Join => actions.extend(self.answer_join(sender)),
         }
         actions
     }
