--- a/src/core/quotas/desk.rs
+++ b/src/core/quotas/desk.rs
@@ -53,8 +53,8 @@
     fn applied(&self, now: Instant) -> LimitTerms {
         let age = self.taken_over.map(|at| now.saturating_duration_since(at));
         let role = match self.limit.role {
-            LimiterRole::Chief { share } if age.is_some_and(|age| age < SETTLING) => {
-                LimiterRole::Chief { share: share / 2.0 }
+            LimiterRole::Primary { share } if age.is_some_and(|age| age < SETTLING) => {
+                LimiterRole::Primary { share: share / 2.0 }
             }
             role => role,
         };
@@ -79,8 +79,8 @@
 pub struct LimiterDesk {
     bounds: QuotaBounds,
     by_program: bool,
-    chiefs: HashMap<WorkspaceId, HeldLimiter>,
-    deputies: HashMap<WorkspaceId, HeldLimiter>,
+    primaries: HashMap<WorkspaceId, HeldLimiter>,
+    standbys: HashMap<WorkspaceId, HeldLimiter>,
     answers: HashMap<AskId, (Instant, QuotaReply)>,
     /// The members by which the chiefs were last looked through.
     viewed: Option<Instant>,
@@ -94,8 +94,8 @@
         Self {
             bounds,
             by_program,
-            chiefs: HashMap::new(),
-            deputies: HashMap::new(),
+            primaries: HashMap::new(),
+            standbys: HashMap::new(),
             answers: HashMap::new(),
             viewed: None,
             since: now,
@@ -107,7 +107,7 @@
     pub fn restart(&mut self, now: Instant) {
         self.since = now;
         self.answers.clear();
-        let held = self.chiefs.values_mut().chain(self.deputies.values_mut());
+        let held = self.primaries.values_mut().chain(self.standbys.values_mut());
         held.for_each(|held| held.limiter.drain(now));
     }
 
@@ -120,7 +120,7 @@
     ) -> (QuotaReply, bool) {
         self.look_around(view, now);
         let role = view.role(question.workspace, now);
-        let chief = role.is_chief();
+        let chief = role.is_primary();
         if let Some((_, reply)) = self.answers.get(&question.id) {
             return (*reply, chief);
         }
@@ -143,10 +143,10 @@
         let taken_over = view.taken_over(question.workspace);
         // Nobody has asked since it is this one's, so nothing was given out.
         let (empty, held) = match role {
-            LimiterRole::Chief { .. } => {
-                (self.since.max(taken_over.unwrap_or(self.since)), &mut self.chiefs)
+            LimiterRole::Primary { .. } => {
+                (self.since.max(taken_over.unwrap_or(self.since)), &mut self.primaries)
             }
-            LimiterRole::Deputy | LimiterRole::Bystander => (now, &mut self.deputies),
+            LimiterRole::Standby | LimiterRole::Observer => (now, &mut self.standbys),
         };
         let fresh = || {
             let limiter = WorkspaceLimiter::new(empty, limit, now);
@@ -159,7 +159,7 @@
 
     /// Takes back a place; one of a limiter that is no longer here is lost.
     pub fn give_back(&mut self, workspace: &str, ask: QuotaAsk, now: Instant) {
-        if let Some(held) = self.chiefs.get_mut(workspace) {
+        if let Some(held) = self.primaries.get_mut(workspace) {
             held.limiter.give_back(ask, held.applied(now));
         }
     }
@@ -177,7 +177,7 @@
             return;
         }
         self.viewed = Some(view.changed());
-        self.chiefs.retain(|workspace, _| view.role(workspace, now).is_chief());
+        self.primaries.retain(|workspace, _| view.role(workspace, now).is_primary());
     }
 
     /// The limits in force here, by name.
@@ -188,9 +188,9 @@
             burst: held.limit.quota.burst,
             level: held.limiter.level(held.applied(now), now),
             refused: held.limiter.refused(),
-            chief: held.limit.role.is_chief(),
+            chief: held.limit.role.is_primary(),
         };
-        let held = self.chiefs.iter().chain(&self.deputies);
+        let held = self.primaries.iter().chain(&self.standbys);
         let mut samples: Vec<_> = held.map(sample).collect();
         samples.sort_by(|a, b| (&a.workspace, b.chief).cmp(&(&b.workspace, a.chief)));
         samples
--- a/src/core/quotas/limiter.rs
+++ b/src/core/quotas/limiter.rs
@@ -11,9 +11,9 @@
 /// Part of the margin that a limiter itself uses: two fifths. As much is for its deputy, and a fifth for
 /// chance while members that have started find out who goes before whom: with all of it shared out, a
 /// window of a modelled mass start was 1% too full.
-const CHIEF_MARGIN: f64 = 0.4;
+const PRIMARY_TOLERANCE_SHARE: f64 = 0.4;
 /// Part of the margin that a deputy holds at once, and gives out again in a window: two fifths together.
-const DEPUTY_MARGIN: f64 = 0.2;
+const STANDBY_TOLERANCE_SHARE: f64 = 0.2;
 /// Requests of a program where none has been seen: three to seven turns with some two calls each.
 const NEED_PRIOR: f64 = 12.0;
 /// Most that a program is taken to need: calls that belong to no program count like those of one, and
@@ -45,13 +45,13 @@
     /// The workspace is its own, as far as it knows. `share` is the part of the known members that it
     /// sees alive: where a network falls into pieces, each piece has a limiter, and their shares add up
     /// to one. Without it two halves of a cut network had twice the limit.
-    Chief { share: f64 },
+    Primary { share: f64 },
     /// Another member's, whom somebody does not reach. It gives out a part of the margin only, so that
     /// the limit holds though the other may go on.
-    Deputy,
+    Standby,
     /// Another member's, and this instance has started so lately that many may be taken for its deputy.
     /// It gives out nothing.
-    Bystander,
+    Observer,
 }
 
 /// The limit of a workspace as one instance applies it.
@@ -64,8 +64,8 @@
 
 impl LimiterRole {
     /// Whether the instance limits the workspace for all.
-    pub fn is_chief(self) -> bool {
-        matches!(self, Self::Chief { .. })
+    pub fn is_primary(self) -> bool {
+        matches!(self, Self::Primary { .. })
     }
 }
 
@@ -73,14 +73,14 @@
     /// What is let in at once and a second.
     fn call_pace(&self) -> BucketPace {
         match self.role {
-            LimiterRole::Chief { share } => {
-                let over = 1.0 + CHIEF_MARGIN * self.bounds.over;
-                let most = self.quota.burst * over + CHIEF_MARGIN * self.bounds.slack;
+            LimiterRole::Primary { share } => {
+                let over = 1.0 + PRIMARY_TOLERANCE_SHARE * self.bounds.over;
+                let most = self.quota.burst * over + PRIMARY_TOLERANCE_SHARE * self.bounds.slack;
                 BucketPace { rate: self.quota.rate * over * share, most: most * share }
             }
-            LimiterRole::Bystander => BucketPace { rate: 0.0, most: 0.0 },
-            LimiterRole::Deputy => {
-                let most = DEPUTY_MARGIN * self.bounds.margin(self.quota);
+            LimiterRole::Observer => BucketPace { rate: 0.0, most: 0.0 },
+            LimiterRole::Standby => {
+                let most = STANDBY_TOLERANCE_SHARE * self.bounds.margin(self.quota);
                 BucketPace { rate: most / self.bounds.window.as_secs_f64().max(1.0), most }
             }
         }
--- a/src/core/quotas/view.rs
+++ b/src/core/quotas/view.rs
@@ -147,10 +147,10 @@
     pub fn role(&self, workspace: &str, now: Instant) -> LimiterRole {
         let chief = self.chief(workspace).is_some_and(|chief| self.is_me(chief));
         match (chief, self.is_learning(now)) {
-            (true, false) => LimiterRole::Chief { share: self.share(now) },
-            (true, true) => LimiterRole::Chief { share: self.share(now) / 2.0 },
-            (false, false) => LimiterRole::Deputy,
-            (false, true) => LimiterRole::Bystander,
+            (true, false) => LimiterRole::Primary { share: self.share(now) },
+            (true, true) => LimiterRole::Primary { share: self.share(now) / 2.0 },
+            (false, false) => LimiterRole::Standby,
+            (false, true) => LimiterRole::Observer,
         }
     }
 
--- a/tests/quota_bound.rs
+++ b/tests/quota_bound.rs
@@ -129,7 +129,7 @@
         standing: LimiterStanding::Alive,
     }];
     let view = QuotaView::new(name(0), me, 8, Instant::now());
-    assert_eq!(view.role("acme", Instant::now()), LimiterRole::Chief { share: 0.0625 });
+    assert_eq!(view.role("acme", Instant::now()), LimiterRole::Primary { share: 0.0625 });
     let later = Instant::now() + Duration::from_secs(3);
-    assert_eq!(view.role("acme", later), LimiterRole::Chief { share: 0.125 });
+    assert_eq!(view.role("acme", later), LimiterRole::Primary { share: 0.125 });
 }
--- a/tests/quota_limits.rs
+++ b/tests/quota_limits.rs
@@ -14,12 +14,12 @@
 
 const BOUNDS: QuotaBounds = QuotaBounds { window: Duration::from_secs(5), over: 0.1, slack: 20.0 };
 const STRICT: QuotaBounds = QuotaBounds { window: Duration::from_secs(5), over: 0.0, slack: 0.0 };
-const CHIEF: LimiterRole = LimiterRole::Chief { share: 1.0 };
+const PRIMARY: LimiterRole = LimiterRole::Primary { share: 1.0 };
 const CALL: QuotaAsk = QuotaAsk { opens: false };
 const FIRST: QuotaAsk = QuotaAsk { opens: true };
 
 fn limit(rate: f64, burst: f64, bounds: QuotaBounds) -> LimitTerms {
-    LimitTerms { quota: QuotaTerms { rate, burst }, bounds, role: CHIEF }
+    LimitTerms { quota: QuotaTerms { rate, burst }, bounds, role: PRIMARY }
 }
 
 fn is_granted(reply: QuotaReply) -> bool {
@@ -142,9 +142,9 @@
 #[tokio::test(start_paused = true)]
 async fn a_limit_that_is_all_but_nothing_is_told_in_figures() {
     let terms = limit(1e-300, 1.0, STRICT);
-    let deputy = LimitTerms { role: LimiterRole::Deputy, ..terms };
-    let mut limiter = WorkspaceLimiter::new(Instant::now(), deputy, Instant::now());
-    for terms in [terms, deputy] {
+    let standby = LimitTerms { role: LimiterRole::Standby, ..terms };
+    let mut limiter = WorkspaceLimiter::new(Instant::now(), standby, Instant::now());
+    for terms in [terms, standby] {
         for ask in [CALL, FIRST] {
             let reply = limiter.ask(ask, terms, true, Instant::now());
             let QuotaReply::Refused { retry_after } = reply else { panic!("{reply:?}") };
@@ -178,8 +178,8 @@
 async fn the_parts_of_all_limiters_add_up_to_one() {
     use LimiterStanding::{Alive, Gone};
     let share = |view: &QuotaView| match view.role("acme", settled()) {
-        LimiterRole::Chief { share } => share,
-        LimiterRole::Deputy | LimiterRole::Bystander => 0.0,
+        LimiterRole::Primary { share } => share,
+        LimiterRole::Standby | LimiterRole::Observer => 0.0,
     };
     let whole: f64 = (0..9).map(|me| share(&view_of(me, &[Alive; 9], 0))).sum();
     assert_eq!(whole, 1.0);
@@ -202,16 +202,16 @@
         view.role("acme", Instant::now() + Duration::from_secs(after))
     };
     let alone = view_of(0, &[Alive], 4);
-    assert_eq!(role(&alone, 1), LimiterRole::Chief { share: 0.125 });
-    assert_eq!(role(&alone, 3), LimiterRole::Chief { share: 0.25 });
+    assert_eq!(role(&alone, 1), LimiterRole::Primary { share: 0.125 });
+    assert_eq!(role(&alone, 3), LimiterRole::Primary { share: 0.25 });
     let other = |least| {
-        (0..3).map(|me| view_of(me, &[Alive; 3], least)).find(|view| !role(view, 3).is_chief())
+        (0..3).map(|me| view_of(me, &[Alive; 3], least)).find(|view| !role(view, 3).is_primary())
     };
     let learning = other(4).expect("two of three are no limiters");
-    assert_eq!(role(&learning, 1), LimiterRole::Bystander);
-    assert_eq!(role(&learning, 3), LimiterRole::Deputy);
+    assert_eq!(role(&learning, 1), LimiterRole::Observer);
+    assert_eq!(role(&learning, 3), LimiterRole::Standby);
     let complete = other(3).expect("two of three are no limiters");
-    assert_eq!(role(&complete, 0), LimiterRole::Deputy);
+    assert_eq!(role(&complete, 0), LimiterRole::Standby);
 }
 
 #[tokio::test(start_paused = true)]
@@ -225,13 +225,13 @@
             let number = member.instance[1..].parse().expect("a number");
             view_of(number, standings, 0).role(workspace, settled())
         };
-        assert_eq!(of(&first, &[Alive; 5]), CHIEF);
-        assert_eq!(of(&second, &[Alive; 5]), LimiterRole::Deputy);
+        assert_eq!(of(&first, &[Alive; 5]), PRIMARY);
+        assert_eq!(of(&second, &[Alive; 5]), LimiterRole::Standby);
         // Once it is suspected, the second one takes over; it may still be asked.
         let number: usize = first.instance[1..].parse().expect("a number");
         let mut standings = [Alive; 5];
         standings[number] = Suspect;
-        assert_eq!(of(&second, &standings), LimiterRole::Chief { share: 0.8 });
+        assert_eq!(of(&second, &standings), LimiterRole::Primary { share: 0.8 });
         let me = (number + 1) % 5;
         assert_eq!(
             view_of(me, &standings, 0).asked(workspace)[0],
@@ -256,8 +256,8 @@
     advance(Duration::from_secs(10)).await;
     let mut desk = LimiterDesk::new(STRICT, true, Instant::now() - Duration::from_secs(10));
     for _ in 0..5 {
-        let (reply, chief) = desk.decide(question(1, &workspace, quota), &view, Instant::now());
-        assert!(is_granted(reply) && chief);
+        let (reply, primary) = desk.decide(question(1, &workspace, quota), &view, Instant::now());
+        assert!(is_granted(reply) && primary);
     }
     assert!(is_granted(desk.decide(question(2, &workspace, quota), &view, Instant::now()).0));
     let (reply, _) = desk.decide(question(3, &workspace, quota), &view, Instant::now());
@@ -306,7 +306,7 @@
     };
     let goes_before = |three: &[QuotaMember]| {
         let view = QuotaView::new(format!("i{me}").into(), three.to_vec(), 0, Instant::now());
-        !view.role(&workspace, Instant::now()).is_chief()
+        !view.role(&workspace, Instant::now()).is_primary()
     };
     let mut three = (0..).map(third).find(|three| !goes_before(three)).expect("one of them");
     view.update(three.clone(), 0, Instant::now());
@@ -334,11 +334,11 @@
 async fn a_limiter_and_its_deputy_keep_the_bound() {
     for (rate, burst) in [(1.0, 1.0), (8.0, 8.0), (200.0, 200.0), (50.0, 5.0)] {
         let quota = QuotaTerms { rate, burst };
-        let chief = LimitTerms { quota, bounds: BOUNDS, role: CHIEF };
-        let deputy = LimitTerms { role: LimiterRole::Deputy, ..chief };
+        let primary = LimitTerms { quota, bounds: BOUNDS, role: PRIMARY };
+        let standby = LimitTerms { role: LimiterRole::Standby, ..primary };
         let begun = Instant::now();
         advance(Duration::from_secs(60)).await;
-        let mut limiters = [chief, deputy]
+        let mut limiters = [primary, standby]
             .map(|terms| (terms, WorkspaceLimiter::new(begun, terms, Instant::now())));
         let mut count = 0;
         let start = Instant::now();
