--- a/src/bench/workspace_cores.rs
+++ b/src/bench/workspace_cores.rs
@@ -6,8 +6,8 @@
 use super::cores::{CoreSlope, measure_build, slope};
 use crate::core::ids::WorkspaceId;
 use crate::core::quotas::{
-    LimiterDesk, LimiterStanding, QuotaAsk, QuotaBounds, QuotaMember, QuotaQuestion, QuotaTerms,
-    QuotaView,
+    LimiterRegistry, LimiterStanding, QuotaAsk, QuotaBounds, QuotaMember, QuotaQuestion,
+    QuotaTerms, QuotaView,
 };
 use crate::core::workspaces::{ApiKey, WorkspaceSpec, WorkspaceTable};
 
@@ -65,7 +65,7 @@
     };
     let now = tokio::time::Instant::now();
     let view = QuotaView::new("instance-0".into(), (0..count).map(member).collect(), 0, now);
-    let mut desk = LimiterDesk::new(BOUNDS, true, now);
+    let mut registry = LimiterRegistry::new(BOUNDS, true, now);
     let names: Vec<WorkspaceId> = (0..86).map(|n| format!("workspace-{n}").into()).collect();
     let quota = QuotaTerms { rate: 1e6, burst: 1e6 };
     let started = Instant::now();
@@ -74,7 +74,7 @@
         black_box(view.asked(workspace));
         let ask = QuotaAsk { opens: id % 12 == 0 };
         let question = QuotaQuestion { id: id as u64, workspace, ask, quota };
-        black_box(desk.decide(question, &view, now));
+        black_box(registry.decide(question, &view, now));
     }
     slope("a place within a limit", count, started.elapsed(), OPERATIONS, 0.0)
 }
--- a/src/core/quotas/mod.rs
+++ b/src/core/quotas/mod.rs
@@ -6,8 +6,8 @@
 //! record. [`share`] is the other way that was weighed: each instance has its part of each limit.
 
 mod bucket;
-mod desk;
 mod limiter;
+mod registry;
 mod share;
 mod view;
 
@@ -16,8 +16,8 @@
 use serde::{Deserialize, Serialize};
 
 pub use bucket::{BucketPace, TokenBucket};
-pub use desk::{AskId, LimitSample, LimiterDesk, QuotaQuestion};
 pub use limiter::{LimitTerms, LimiterRole, QuotaAsk, WorkspaceLimiter};
+pub use registry::{AskId, LimitSample, LimiterRegistry, QuotaQuestion};
 pub use share::QuotaShare;
 pub use view::{LimiterStanding, QuotaMember, QuotaView};
 
--- a/src/core/quotas/desk.rs
+++ b/src/core/quotas/registry.rs
@@ -16,11 +16,11 @@
 
 /// How long an answer is remembered, so that a question that is repeated is not counted twice: longer
 /// than any asker repeats its own.
-const ANSWER_MEMORY: Duration = Duration::from_secs(1);
+const REPLY_RETENTION: Duration = Duration::from_secs(1);
 /// How long a limiter that has taken over gives out half of its share. Where a network falls apart, it
 /// takes some two seconds until each piece knows how small it is; that long the former limiter and
 /// this one both give out more than their part.
-const SETTLING: Duration = Duration::from_secs(2);
+const TAKEOVER_DURATION: Duration = Duration::from_secs(2);
 
 /// A limit in force, as an operator sees it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -40,7 +40,7 @@
 
 /// One limiter and what it was last told.
 #[derive(Debug)]
-struct HeldLimiter {
+struct LimiterEntry {
     limiter: WorkspaceLimiter,
     /// As the members stood when it was last asked.
     limit: LimitTerms,
@@ -48,12 +48,12 @@
     taken_over: Option<Instant>,
 }
 
-impl HeldLimiter {
+impl LimiterEntry {
     /// The limit as it is applied now: half of it while another one may not know yet.
-    fn applied(&self, now: Instant) -> LimitTerms {
+    fn effective_params(&self, now: Instant) -> LimitTerms {
         let age = self.taken_over.map(|at| now.saturating_duration_since(at));
         let role = match self.limit.role {
-            LimiterRole::Primary { share } if age.is_some_and(|age| age < SETTLING) => {
+            LimiterRole::Primary { share } if age.is_some_and(|age| age < TAKEOVER_DURATION) => {
                 LimiterRole::Primary { share: share / 2.0 }
             }
             role => role,
@@ -76,19 +76,19 @@
 /// Answers whoever asks. It drops a limiter when the members say that another one limits the workspace,
 /// and empties all of them when the process was paused.
 #[derive(Debug)]
-pub struct LimiterDesk {
+pub struct LimiterRegistry {
     bounds: QuotaBounds,
     by_program: bool,
-    primaries: HashMap<WorkspaceId, HeldLimiter>,
-    standbys: HashMap<WorkspaceId, HeldLimiter>,
-    answers: HashMap<AskId, (Instant, QuotaReply)>,
+    primaries: HashMap<WorkspaceId, LimiterEntry>,
+    standbys: HashMap<WorkspaceId, LimiterEntry>,
+    replies: HashMap<AskId, (Instant, QuotaReply)>,
     /// The members by which the chiefs were last looked through.
-    viewed: Option<Instant>,
+    view_changed: Option<Instant>,
     /// Nothing given out before is known.
     since: Instant,
 }
 
-impl LimiterDesk {
+impl LimiterRegistry {
     /// `by_program` tells whether first requests are held to what their programs need.
     pub fn new(bounds: QuotaBounds, by_program: bool, now: Instant) -> Self {
         Self {
@@ -96,8 +96,8 @@
             by_program,
             primaries: HashMap::new(),
             standbys: HashMap::new(),
-            answers: HashMap::new(),
-            viewed: None,
+            replies: HashMap::new(),
+            view_changed: None,
             since: now,
         }
     }
@@ -106,9 +106,9 @@
     /// filling would give out their bursts a second time.
     pub fn restart(&mut self, now: Instant) {
         self.since = now;
-        self.answers.clear();
-        let held = self.primaries.values_mut().chain(self.standbys.values_mut());
-        held.for_each(|held| held.limiter.drain(now));
+        self.replies.clear();
+        let entries = self.primaries.values_mut().chain(self.standbys.values_mut());
+        entries.for_each(|entry| entry.limiter.drain(now));
     }
 
     /// Decides about a request; whether this instance limits the workspace for all.
@@ -118,16 +118,16 @@
         view: &QuotaView,
         now: Instant,
     ) -> (QuotaReply, bool) {
-        self.look_around(view, now);
+        self.drop_transferred(view, now);
         let role = view.role(question.workspace, now);
         let chief = role.is_primary();
-        if let Some((_, reply)) = self.answers.get(&question.id) {
+        if let Some((_, reply)) = self.replies.get(&question.id) {
             return (*reply, chief);
         }
         let by_program = self.by_program;
-        let held = self.limiter(&question, role, view, now);
-        let reply = held.limiter.ask(question.ask, held.applied(now), by_program, now);
-        self.answers.insert(question.id, (now, reply));
+        let entry = self.limiter(&question, role, view, now);
+        let reply = entry.limiter.ask(question.ask, entry.effective_params(now), by_program, now);
+        self.replies.insert(question.id, (now, reply));
         (reply, chief)
     }
 
@@ -138,11 +138,11 @@
         role: LimiterRole,
         view: &QuotaView,
         now: Instant,
-    ) -> &mut HeldLimiter {
+    ) -> &mut LimiterEntry {
         let limit = LimitTerms { quota: question.quota, bounds: self.bounds, role };
         let taken_over = view.taken_over(question.workspace);
         // Nobody has asked since it is this one's, so nothing was given out.
-        let (empty, held) = match role {
+        let (empty, entries) = match role {
             LimiterRole::Primary { .. } => {
                 (self.since.max(taken_over.unwrap_or(self.since)), &mut self.primaries)
             }
@@ -150,48 +150,48 @@
         };
         let fresh = || {
             let limiter = WorkspaceLimiter::new(empty, limit, now);
-            HeldLimiter { limiter, limit, taken_over }
+            LimiterEntry { limiter, limit, taken_over }
         };
-        let held = held.entry(question.workspace.clone()).or_insert_with(fresh);
-        held.limit = limit;
-        held
+        let entry = entries.entry(question.workspace.clone()).or_insert_with(fresh);
+        entry.limit = limit;
+        entry
     }
 
     /// Takes back a place; one of a limiter that is no longer here is lost.
     pub fn give_back(&mut self, workspace: &str, ask: QuotaAsk, now: Instant) {
-        if let Some(held) = self.primaries.get_mut(workspace) {
-            held.limiter.give_back(ask, held.applied(now));
+        if let Some(entry) = self.primaries.get_mut(workspace) {
+            entry.limiter.give_back(ask, entry.effective_params(now));
         }
     }
 
     /// To be called often: follows the members and forgets old answers.
     pub fn tick(&mut self, view: &QuotaView, now: Instant) {
-        self.look_around(view, now);
-        self.answers.retain(|_, (at, _)| now.saturating_duration_since(*at) < ANSWER_MEMORY);
+        self.drop_transferred(view, now);
+        self.replies.retain(|_, (at, _)| now.saturating_duration_since(*at) < REPLY_RETENTION);
     }
 
     /// Drops the limiters of workspaces that have gone to another member: come back later, they begin
     /// empty, as the other one gives out the limit meanwhile.
-    fn look_around(&mut self, view: &QuotaView, now: Instant) {
-        if self.viewed == Some(view.changed()) {
+    fn drop_transferred(&mut self, view: &QuotaView, now: Instant) {
+        if self.view_changed == Some(view.changed()) {
             return;
         }
-        self.viewed = Some(view.changed());
+        self.view_changed = Some(view.changed());
         self.primaries.retain(|workspace, _| view.role(workspace, now).is_primary());
     }
 
     /// The limits in force here, by name.
     pub fn samples(&self, now: Instant) -> Vec<LimitSample> {
-        let sample = |(workspace, held): (&WorkspaceId, &HeldLimiter)| LimitSample {
+        let sample = |(workspace, entry): (&WorkspaceId, &LimiterEntry)| LimitSample {
             workspace: workspace.clone(),
-            rate: held.limit.quota.rate,
-            burst: held.limit.quota.burst,
-            level: held.limiter.level(held.applied(now), now),
-            refused: held.limiter.refused(),
-            chief: held.limit.role.is_primary(),
+            rate: entry.limit.quota.rate,
+            burst: entry.limit.quota.burst,
+            level: entry.limiter.level(entry.effective_params(now), now),
+            refused: entry.limiter.refused(),
+            chief: entry.limit.role.is_primary(),
         };
-        let held = self.primaries.iter().chain(&self.standbys);
-        let mut samples: Vec<_> = held.map(sample).collect();
+        let entries = self.primaries.iter().chain(&self.standbys);
+        let mut samples: Vec<_> = entries.map(sample).collect();
         samples.sort_by(|a, b| (&a.workspace, b.chief).cmp(&(&b.workspace, a.chief)));
         samples
     }
--- a/src/gateway/quotas/asker.rs
+++ b/src/gateway/quotas/asker.rs
@@ -13,8 +13,8 @@
 use super::{LeastMembers, QuotaKeeper, QuotaOutcome, QuotaPeers, QuotaPlace, QuotaSource};
 use crate::core::ids::{InstanceId, WorkspaceId};
 use crate::core::quotas::{
-    AskId, LimitSample, LimiterDesk, QuotaAsk, QuotaBounds, QuotaQuestion, QuotaReply, QuotaTerms,
-    QuotaView,
+    AskId, LimitSample, LimiterRegistry, QuotaAsk, QuotaBounds, QuotaQuestion, QuotaReply,
+    QuotaTerms, QuotaView,
 };
 use crate::gateway::latency::FailedPeers;
 use crate::gateway::members::QuotaListener;
@@ -69,7 +69,7 @@
 /// Limits kept by one member for each workspace.
 pub(crate) struct LimiterQuota {
     me: InstanceId,
-    desk: RefCell<LimiterDesk>,
+    desk: RefCell<LimiterRegistry>,
     /// When the instance was last seen running.
     mark: Cell<Option<ClockMark>>,
     /// Doubts of others that are known of.
@@ -94,7 +94,7 @@
     ) -> Self {
         Self {
             me,
-            desk: RefCell::new(LimiterDesk::new(bounds, by_program, Instant::now())),
+            desk: RefCell::new(LimiterRegistry::new(bounds, by_program, Instant::now())),
             mark: Cell::new(None),
             doubts: Cell::new(0),
             peers,
--- a/tests/quota_limits.rs
+++ b/tests/quota_limits.rs
@@ -4,7 +4,7 @@
 
 use merlinsaddle::core::ids::WorkspaceId;
 use merlinsaddle::core::quotas::{
-    BucketPace, LimitTerms, LimiterDesk, LimiterRole, LimiterStanding, QuotaAsk, QuotaBounds,
+    BucketPace, LimitTerms, LimiterRegistry, LimiterRole, LimiterStanding, QuotaAsk, QuotaBounds,
     QuotaMember, QuotaQuestion, QuotaReply, QuotaShare, QuotaTerms, QuotaView, TokenBucket,
     WorkspaceLimiter,
 };
@@ -254,13 +254,14 @@
     let quota = QuotaTerms { rate: 1.0, burst: 2.0 };
     let workspace = "acme".into();
     advance(Duration::from_secs(10)).await;
-    let mut desk = LimiterDesk::new(STRICT, true, Instant::now() - Duration::from_secs(10));
+    let mut registry = LimiterRegistry::new(STRICT, true, Instant::now() - Duration::from_secs(10));
     for _ in 0..5 {
-        let (reply, primary) = desk.decide(question(1, &workspace, quota), &view, Instant::now());
+        let (reply, primary) =
+            registry.decide(question(1, &workspace, quota), &view, Instant::now());
         assert!(is_granted(reply) && primary);
     }
-    assert!(is_granted(desk.decide(question(2, &workspace, quota), &view, Instant::now()).0));
-    let (reply, _) = desk.decide(question(3, &workspace, quota), &view, Instant::now());
+    assert!(is_granted(registry.decide(question(2, &workspace, quota), &view, Instant::now()).0));
+    let (reply, _) = registry.decide(question(3, &workspace, quota), &view, Instant::now());
     assert!(!is_granted(reply));
 }
 
@@ -277,20 +278,21 @@
     let mut without = [Alive; 2];
     without[other] = Gone;
     let mut view = view_of(me, &without, 0);
-    let mut desk = LimiterDesk::new(STRICT, true, Instant::now());
+    let mut registry = LimiterRegistry::new(STRICT, true, Instant::now());
     let quota = QuotaTerms { rate: 10.0, burst: 100.0 };
-    let level =
-        |desk: &LimiterDesk| desk.samples(Instant::now()).first().map(|sample| sample.level);
+    let level = |registry: &LimiterRegistry| {
+        registry.samples(Instant::now()).first().map(|sample| sample.level)
+    };
     advance(Duration::from_secs(100)).await;
-    desk.decide(question(1, &workspace, quota), &view, Instant::now());
-    assert_eq!(level(&desk), Some(49.0));
+    registry.decide(question(1, &workspace, quota), &view, Instant::now());
+    assert_eq!(level(&registry), Some(49.0));
     view.update(members(&[Alive; 2]), 0, Instant::now());
-    desk.tick(&view, Instant::now());
-    assert_eq!(level(&desk), None);
+    registry.tick(&view, Instant::now());
+    assert_eq!(level(&registry), None);
     advance(Duration::from_secs(30)).await;
     view.update(members(&without), 0, Instant::now());
-    desk.decide(question(2, &workspace, quota), &view, Instant::now());
-    assert!(level(&desk).expect("it limits again") < 1.0, "{:?}", level(&desk));
+    registry.decide(question(2, &workspace, quota), &view, Instant::now());
+    assert!(level(&registry).expect("it limits again") < 1.0, "{:?}", level(&registry));
     // Another member's end does not concern it: what has filled up stays.
     advance(Duration::from_secs(100)).await;
     let third = |number: usize| {
@@ -312,8 +314,8 @@
     view.update(three.clone(), 0, Instant::now());
     three[2].standing = Gone;
     view.update(three, 0, Instant::now());
-    desk.decide(question(3, &workspace, quota), &view, Instant::now());
-    assert!(level(&desk).expect("it limits") > 30.0, "{:?}", level(&desk));
+    registry.decide(question(3, &workspace, quota), &view, Instant::now());
+    assert!(level(&registry).expect("it limits") > 30.0, "{:?}", level(&registry));
 }
 
 /// A process that was paused is asked the moment it wakes: it gives out nothing that filled meanwhile.
@@ -322,11 +324,11 @@
     let view = view_of(0, &[LimiterStanding::Alive], 0);
     let workspace: Box<str> = "acme".into();
     let quota = QuotaTerms { rate: 10.0, burst: 100.0 };
-    let mut desk = LimiterDesk::new(STRICT, true, Instant::now());
+    let mut registry = LimiterRegistry::new(STRICT, true, Instant::now());
     advance(Duration::from_secs(30)).await;
-    desk.restart(Instant::now());
-    desk.decide(question(1, &workspace, quota), &view, Instant::now());
-    assert!(desk.samples(Instant::now())[0].level < 1.0);
+    registry.restart(Instant::now());
+    registry.decide(question(1, &workspace, quota), &view, Instant::now());
+    assert!(registry.samples(Instant::now())[0].level < 1.0);
 }
 
 /// What a deputy gives out in a window, together with what the limiter does, is within the margin.
--- a/tests/quota_world/mod.rs
+++ b/tests/quota_world/mod.rs
@@ -5,8 +5,8 @@
 
 use merlinsaddle::core::ids::WorkspaceId;
 use merlinsaddle::core::quotas::{
-    LimiterDesk, LimiterStanding, QuotaAsk, QuotaBounds, QuotaMember, QuotaQuestion, QuotaReply,
-    QuotaTerms, QuotaView,
+    LimiterRegistry, LimiterStanding, QuotaAsk, QuotaBounds, QuotaMember, QuotaQuestion,
+    QuotaReply, QuotaTerms, QuotaView,
 };
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
@@ -91,7 +91,7 @@
 
 struct Member {
     view: QuotaView,
-    desk: LimiterDesk,
+    registry: LimiterRegistry,
     beliefs: Vec<Belief>,
     down_until: Instant,
     frozen_until: Instant,
@@ -131,7 +131,7 @@
         let count = plan.members;
         let member = |me: usize| Member {
             view: QuotaView::new(name(me), Vec::new(), count, now),
-            desk: LimiterDesk::new(BOUNDS, true, now),
+            registry: LimiterRegistry::new(BOUNDS, true, now),
             beliefs: vec![
                 Belief {
                     standing: Some(LimiterStanding::Alive),
@@ -217,7 +217,7 @@
         if std::mem::take(&mut self.members[me].was_down) {
             self.members[me].was_frozen = None;
             self.members[me].incarnation += 1;
-            self.members[me].desk = LimiterDesk::new(BOUNDS, true, now);
+            self.members[me].registry = LimiterRegistry::new(BOUNDS, true, now);
             for other in 0..self.members.len() {
                 let learned = now + self.delay(0.05, 1.5);
                 let standing = (other == me).then_some(LimiterStanding::Alive);
@@ -228,12 +228,12 @@
             self.members[me].view = QuotaView::new(name(me), Vec::new(), count, now);
         }
         if std::mem::take(&mut self.members[me].doubted) {
-            self.members[me].desk.restart(now);
+            self.members[me].registry.restart(now);
         }
         if let Some(since) = self.members[me].was_frozen.take()
             && now - since >= PAUSE
         {
-            self.members[me].desk.restart(now);
+            self.members[me].registry.restart(now);
         }
     }
 
@@ -278,8 +278,8 @@
         let (count, now) = (self.members.len(), self.now);
         let member = &mut self.members[me];
         member.view.update(known, count, now);
-        let Member { view, desk, .. } = member;
-        desk.tick(view, now);
+        let Member { view, registry, .. } = member;
+        registry.tick(view, now);
     }
 
     /// One request at a member.
@@ -296,15 +296,15 @@
                 continue;
             }
             let now = self.now;
-            let Member { view, desk, quota, .. } = &mut self.members[target];
+            let Member { view, registry, quota, .. } = &mut self.members[target];
             let question = QuotaQuestion { id, workspace, ask, quota: *quota };
-            let (reply, chief) = desk.decide(question, view, now);
+            let (reply, chief) = registry.decide(question, view, now);
             if self.rng.random_bool(LOST) {
                 continue;
             }
             match reply {
                 QuotaReply::Granted { .. } if self.rng.random_bool(GIVE_BACK) => {
-                    self.members[target].desk.give_back(workspace, ask, now);
+                    self.members[target].registry.give_back(workspace, ask, now);
                     return;
                 }
                 QuotaReply::Granted { after } => {
