--- a/src/bench/workspace_cores.rs
+++ b/src/bench/workspace_cores.rs
@@ -6,7 +6,7 @@
 use super::cores::{CoreSlope, measure_build, slope};
 use crate::core::ids::WorkspaceId;
 use crate::core::quotas::{
-    LimiterRegistry, LimiterStanding, QuotaAsk, QuotaBounds, QuotaMember, QuotaQuestion,
+    LimiterRegistry, LimiterRequest, LimiterStanding, QuotaBounds, QuotaMember, QuotaRequest,
     QuotaTerms, QuotaView,
 };
 use crate::core::workspaces::{ApiKey, WorkspaceSpec, WorkspaceTable};
@@ -72,8 +72,8 @@
     for id in 0..OPERATIONS {
         let workspace = &names[id % names.len()];
         black_box(view.asked(workspace));
-        let ask = QuotaAsk { opens: id % 12 == 0 };
-        let question = QuotaQuestion { id: id as u64, workspace, ask, quota };
+        let ask = QuotaRequest { is_first: id % 12 == 0 };
+        let question = LimiterRequest { id: id as u64, workspace, ask, quota };
         black_box(registry.decide(question, &view, now));
     }
     slope("a place within a limit", count, started.elapsed(), OPERATIONS, 0.0)
--- a/src/core/quotas/limiter.rs
+++ b/src/core/quotas/limiter.rs
@@ -99,9 +99,10 @@
 
 /// What a request asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct QuotaAsk {
+pub struct QuotaRequest {
     /// Whether it is the first request of a program, which stands for all that follow.
-    pub opens: bool,
+    #[serde(rename = "opens")]
+    pub is_first: bool,
 }
 
 /// How many requests a program has, learned from those that were let in.
@@ -117,18 +118,18 @@
         Self { requests: 0.0, programs: 0.0, at: now }
     }
 
-    fn note(&mut self, opens: bool, now: Instant) {
+    fn note(&mut self, is_first: bool, now: Instant) {
         let age = now.saturating_duration_since(self.at);
         let kept = (-age.as_secs_f64() / NEED_FADE.as_secs_f64()).exp();
         self.at = self.at.max(now);
         self.requests = self.requests * kept + 1.0;
-        self.programs = self.programs * kept + f64::from(u8::from(opens));
+        self.programs = self.programs * kept + f64::from(u8::from(is_first));
     }
 
     /// Takes back what was noted just now.
-    fn forget(&mut self, opens: bool) {
+    fn forget(&mut self, is_first: bool) {
         self.requests = (self.requests - 1.0).max(0.0);
-        self.programs = (self.programs - f64::from(u8::from(opens))).max(0.0);
+        self.programs = (self.programs - f64::from(u8::from(is_first))).max(0.0);
     }
 
     fn mean(&self) -> f64 {
@@ -186,7 +187,7 @@
     /// programs need.
     pub fn ask(
         &mut self,
-        ask: QuotaAsk,
+        ask: QuotaRequest,
         limit: LimitTerms,
         by_program: bool,
         now: Instant,
@@ -197,7 +198,7 @@
         self.programs.fill(programs, now);
         let planned = self.programs.wait(need, programs);
         let pressed = self.calls.level() < PRESSED_LEVEL * calls.most;
-        if ask.opens && by_program && pressed && planned > HOLD {
+        if ask.is_first && by_program && pressed && planned > HOLD {
             self.refused += 1;
             let step = programs.time_for(need);
             let retry_after = self.programs_back.line_up(planned, step, now);
@@ -207,26 +208,26 @@
             self.refused += 1;
             // It was needed all the same: counted by what is let in alone, programs seem to need the
             // less the more of their calls are refused, and ever more of them are begun.
-            if !ask.opens {
+            if !ask.is_first {
                 self.need.note(false, now);
             }
             let step = calls.time_for(1.0);
             let retry_after = self.calls_back.line_up(self.calls.wait(1.0, calls), step, now);
             return QuotaReply::Refused { retry_after };
         };
-        if ask.opens {
+        if ask.is_first {
             self.programs.charge(need, programs);
         }
-        self.need.note(ask.opens, now);
+        self.need.note(ask.is_first, now);
         QuotaReply::Granted { after }
     }
 
     /// Takes back a place that was granted lately and not used.
-    pub fn give_back(&mut self, ask: QuotaAsk, limit: LimitTerms) {
+    pub fn give_back(&mut self, ask: QuotaRequest, limit: LimitTerms) {
         // First of all it was never there, or less is put back than was charged.
-        self.need.forget(ask.opens);
+        self.need.forget(ask.is_first);
         self.calls.put_back(1.0, limit.call_pace());
-        if ask.opens {
+        if ask.is_first {
             let need = self.need.mean();
             self.programs.put_back(need, limit.program_pace(need));
         }
--- a/src/core/quotas/mod.rs
+++ b/src/core/quotas/mod.rs
@@ -16,8 +16,8 @@
 use serde::{Deserialize, Serialize};
 
 pub use bucket::{BucketPace, TokenBucket};
-pub use limiter::{LimitTerms, LimiterRole, QuotaAsk, WorkspaceLimiter};
-pub use registry::{AskId, LimitSample, LimiterRegistry, QuotaQuestion};
+pub use limiter::{LimitTerms, LimiterRole, QuotaRequest, WorkspaceLimiter};
+pub use registry::{LimitSample, LimiterRegistry, LimiterRequest, QuotaRequestId};
 pub use share::QuotaShare;
 pub use view::{LimiterStanding, QuotaMember, QuotaView};
 
--- a/src/core/quotas/registry.rs
+++ b/src/core/quotas/registry.rs
@@ -6,13 +6,13 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use super::limiter::{LimitTerms, LimiterRole, QuotaAsk, WorkspaceLimiter};
+use super::limiter::{LimitTerms, LimiterRole, QuotaRequest, WorkspaceLimiter};
 use super::view::QuotaView;
 use super::{QuotaBounds, QuotaReply, QuotaTerms};
 use crate::core::ids::WorkspaceId;
 
 /// Pairs a reply with its question; drawn at random.
-pub type AskId = u64;
+pub type QuotaRequestId = u64;
 
 /// How long an answer is remembered, so that a question that is repeated is not counted twice: longer
 /// than any asker repeats its own.
@@ -64,11 +64,11 @@
 
 /// A question about one request.
 #[derive(Debug, Clone, Copy)]
-pub struct QuotaQuestion<'a> {
+pub struct LimiterRequest<'a> {
     /// The same for each time it is asked.
-    pub id: AskId,
+    pub id: QuotaRequestId,
     pub workspace: &'a WorkspaceId,
-    pub ask: QuotaAsk,
+    pub ask: QuotaRequest,
     /// The workspace's limit by the configuration in force here.
     pub quota: QuotaTerms,
 }
@@ -81,7 +81,7 @@
     by_program: bool,
     primaries: HashMap<WorkspaceId, LimiterEntry>,
     standbys: HashMap<WorkspaceId, LimiterEntry>,
-    replies: HashMap<AskId, (Instant, QuotaReply)>,
+    replies: HashMap<QuotaRequestId, (Instant, QuotaReply)>,
     /// The members by which the chiefs were last looked through.
     view_changed: Option<Instant>,
     /// Nothing given out before is known.
@@ -114,7 +114,7 @@
     /// Decides about a request; whether this instance limits the workspace for all.
     pub fn decide(
         &mut self,
-        question: QuotaQuestion<'_>,
+        question: LimiterRequest<'_>,
         view: &QuotaView,
         now: Instant,
     ) -> (QuotaReply, bool) {
@@ -134,7 +134,7 @@
     /// The limiter of a workspace, with the limit as the members stand.
     fn limiter(
         &mut self,
-        question: &QuotaQuestion<'_>,
+        question: &LimiterRequest<'_>,
         role: LimiterRole,
         view: &QuotaView,
         now: Instant,
@@ -158,7 +158,7 @@
     }
 
     /// Takes back a place; one of a limiter that is no longer here is lost.
-    pub fn give_back(&mut self, workspace: &str, ask: QuotaAsk, now: Instant) {
+    pub fn give_back(&mut self, workspace: &str, ask: QuotaRequest, now: Instant) {
         if let Some(entry) = self.primaries.get_mut(workspace) {
             entry.limiter.give_back(ask, entry.effective_params(now));
         }
--- a/src/gateway/call/quota.rs
+++ b/src/gateway/call/quota.rs
@@ -5,7 +5,7 @@
 use tokio::time::timeout_at;
 
 use super::{CallContext, DEADLINE_RETRY};
-use crate::core::quotas::QuotaAsk;
+use crate::core::quotas::QuotaRequest;
 use crate::core::turns::TurnScope;
 use crate::gateway::Gateway;
 use crate::gateway::attempt::AttemptLog;
@@ -39,7 +39,7 @@
         };
         // Whether a turn without a history is its program's first is known to the coordinator alone.
         let opens = call.scope == Some(TurnScope::History) && call.head.previous.is_none();
-        let ask = QuotaAsk { opens };
+        let ask = QuotaRequest { is_first: opens };
         let asked = quotas.ask(&workspace.name, quota, ask);
         let outcome = timeout_at(call.deadline, asked)
             .await
@@ -60,7 +60,7 @@
             call.id,
             workspace.name,
             refusal.reason,
-            ask.opens,
+            ask.is_first,
             quota.rate,
             quota.burst,
             retry_after.as_millis(),
--- a/src/gateway/quotas/asker.rs
+++ b/src/gateway/quotas/asker.rs
@@ -13,8 +13,8 @@
 use super::{LeastMembers, QuotaKeeper, QuotaOutcome, QuotaPeers, QuotaPlace, QuotaSource};
 use crate::core::ids::{InstanceId, WorkspaceId};
 use crate::core::quotas::{
-    AskId, LimitSample, LimiterRegistry, QuotaAsk, QuotaBounds, QuotaQuestion, QuotaReply,
-    QuotaTerms, QuotaView,
+    LimitSample, LimiterRegistry, LimiterRequest, QuotaBounds, QuotaReply, QuotaRequest,
+    QuotaRequestId, QuotaTerms, QuotaView,
 };
 use crate::gateway::latency::FailedPeers;
 use crate::gateway::members::QuotaListener;
@@ -78,7 +78,7 @@
     source: Rc<dyn QuotaSource>,
     least: LeastMembers,
     seen: RefCell<Option<SeenMembers>>,
-    waiting: RefCell<HashMap<AskId, UnboundedSender<HeardReply>>>,
+    waiting: RefCell<HashMap<QuotaRequestId, UnboundedSender<HeardReply>>>,
     silent: RefCell<FailedPeers>,
     unheard: Cell<u32>,
 }
@@ -119,7 +119,7 @@
     }
 
     /// Decides about a request as the limiter of its workspace, or its deputy.
-    fn decide(&self, question: QuotaQuestion<'_>) -> (QuotaReply, bool) {
+    fn decide(&self, question: LimiterRequest<'_>) -> (QuotaReply, bool) {
         self.notice_absence();
         let now = Instant::now();
         self.with_view(|view| self.desk.borrow_mut().decide(question, view, now))
@@ -172,7 +172,7 @@
                 if self.least.get().is_none() {
                     return;
                 }
-                let question = QuotaQuestion { id, workspace: &workspace, ask, quota };
+                let question = LimiterRequest { id, workspace: &workspace, ask, quota };
                 let (reply, chief) = self.decide(question);
                 let chief = if chief { None } else { self.chief_address(&workspace) };
                 self.peers.send(from, &QuotaMessage::Reply { id, reply, chief }.encode());
@@ -208,11 +208,11 @@
 
     async fn ask_round(
         &self,
-        question: QuotaQuestion<'_>,
+        question: LimiterRequest<'_>,
         round: usize,
         replies: &mut UnboundedReceiver<HeardReply>,
     ) -> Option<LimitAnswer> {
-        let QuotaQuestion { id, workspace, ask, .. } = question;
+        let LimiterRequest { id, workspace, ask, .. } = question;
         let (peers, own) = self.targets(workspace, round);
         let datagram = QuotaMessage::Ask { id, workspace: workspace.clone(), ask }.encode();
         peers.iter().for_each(|peer| self.peers.send(peer, &datagram));
@@ -251,10 +251,10 @@
         &self,
         workspace: &WorkspaceId,
         quota: QuotaTerms,
-        ask: QuotaAsk,
+        ask: QuotaRequest,
     ) -> Option<LimitAnswer> {
-        let id: AskId = rand::random();
-        let question = QuotaQuestion { id, workspace, ask, quota };
+        let id: QuotaRequestId = rand::random();
+        let question = LimiterRequest { id, workspace, ask, quota };
         let (sender, mut replies) = unbounded_channel();
         self.waiting.borrow_mut().insert(id, sender);
         let _open = OpenQuestion { waiting: &self.waiting, id };
@@ -279,8 +279,8 @@
 
 /// A question that waits for its answer; forgotten when its asker leaves.
 struct OpenQuestion<'a> {
-    waiting: &'a RefCell<HashMap<AskId, UnboundedSender<HeardReply>>>,
-    id: AskId,
+    waiting: &'a RefCell<HashMap<QuotaRequestId, UnboundedSender<HeardReply>>>,
+    id: QuotaRequestId,
 }
 
 impl Drop for OpenQuestion<'_> {
@@ -291,7 +291,12 @@
 
 #[async_trait(?Send)]
 impl QuotaKeeper for LimiterQuota {
-    async fn ask(&self, workspace: &WorkspaceId, quota: QuotaTerms, ask: QuotaAsk) -> QuotaOutcome {
+    async fn ask(
+        &self,
+        workspace: &WorkspaceId,
+        quota: QuotaTerms,
+        ask: QuotaRequest,
+    ) -> QuotaOutcome {
         let Some(answer) = self.ask_all(workspace, quota, ask).await else {
             return QuotaOutcome::Uncertain { retry_after: UNCERTAIN_RETRY };
         };
--- a/src/gateway/quotas/asker_tests.rs
+++ b/src/gateway/quotas/asker_tests.rs
@@ -9,7 +9,7 @@
 use super::LimiterQuota;
 use crate::core::ids::WorkspaceId;
 use crate::core::quotas::{
-    LimiterStanding, QuotaAsk, QuotaBounds, QuotaMember, QuotaReply, QuotaTerms,
+    LimiterStanding, QuotaBounds, QuotaMember, QuotaReply, QuotaRequest, QuotaTerms,
 };
 use crate::gateway::members::QuotaListener;
 use crate::gateway::quotas::{
@@ -18,7 +18,7 @@
 
 const BOUNDS: QuotaBounds = QuotaBounds { window: Duration::from_secs(5), over: 0.0, slack: 0.0 };
 const QUOTA: QuotaTerms = QuotaTerms { rate: 10.0, burst: 100.0 };
-const CALL: QuotaAsk = QuotaAsk { opens: false };
+const CALL: QuotaRequest = QuotaRequest { is_first: false };
 
 /// Members without a network: what is sent is kept.
 struct FakePeers {
--- a/src/gateway/quotas/messages.rs
+++ b/src/gateway/quotas/messages.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::core::ids::WorkspaceId;
-use crate::core::quotas::{AskId, QuotaAsk, QuotaReply};
+use crate::core::quotas::{QuotaReply, QuotaRequest, QuotaRequestId};
 
 /// First byte of such a datagram. One of the failure detector cannot begin so: it would be a message
 /// of more segments than a datagram holds.
@@ -15,16 +15,16 @@
 pub(crate) enum QuotaMessage {
     /// May a request of this workspace be sent on? Asked again under the same id, it is the same
     /// question.
-    Ask { id: AskId, workspace: WorkspaceId, ask: QuotaAsk },
+    Ask { id: QuotaRequestId, workspace: WorkspaceId, ask: QuotaRequest },
     Reply {
-        id: AskId,
+        id: QuotaRequestId,
         reply: QuotaReply,
         /// Who limits the workspace as the sender sees it, if that is not the sender itself; its word
         /// counts only if that one is silent.
         chief: Option<Box<str>>,
     },
     /// The place that was granted lately is not used.
-    GiveBack { workspace: WorkspaceId, ask: QuotaAsk },
+    GiveBack { workspace: WorkspaceId, ask: QuotaRequest },
 }
 
 impl QuotaMessage {
--- a/src/gateway/quotas/mod.rs
+++ b/src/gateway/quotas/mod.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 use crate::core::ids::WorkspaceId;
-use crate::core::quotas::{LimitSample, QuotaAsk, QuotaMember, QuotaTerms};
+use crate::core::quotas::{LimitSample, QuotaMember, QuotaRequest, QuotaTerms};
 
 pub(crate) use self::asker::LimiterQuota;
 pub(crate) use self::messages::QuotaMessage;
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub(crate) struct QuotaPlace {
     workspace: WorkspaceId,
-    ask: QuotaAsk,
+    ask: QuotaRequest,
     /// Who granted it; none if that was this instance.
     limiter: Option<Box<str>>,
     granted: Instant,
@@ -74,7 +74,12 @@
 #[async_trait(?Send)]
 pub(crate) trait QuotaKeeper {
     /// Waits for a place within a workspace's limit.
-    async fn ask(&self, workspace: &WorkspaceId, quota: QuotaTerms, ask: QuotaAsk) -> QuotaOutcome;
+    async fn ask(
+        &self,
+        workspace: &WorkspaceId,
+        quota: QuotaTerms,
+        ask: QuotaRequest,
+    ) -> QuotaOutcome;
 
     /// Gives back the place of a request that has not run and never will.
     fn give_back(&self, place: QuotaPlace);
--- a/src/gateway/quotas/shares.rs
+++ b/src/gateway/quotas/shares.rs
@@ -9,7 +9,9 @@
 
 use super::{LeastMembers, QuotaKeeper, QuotaOutcome, QuotaPeers, QuotaPlace};
 use crate::core::ids::WorkspaceId;
-use crate::core::quotas::{LimitSample, QuotaAsk, QuotaBounds, QuotaReply, QuotaShare, QuotaTerms};
+use crate::core::quotas::{
+    LimitSample, QuotaBounds, QuotaReply, QuotaRequest, QuotaShare, QuotaTerms,
+};
 
 /// Limits in equal parts.
 pub(crate) struct ShareQuota {
@@ -27,7 +29,12 @@
 
 #[async_trait(?Send)]
 impl QuotaKeeper for ShareQuota {
-    async fn ask(&self, workspace: &WorkspaceId, quota: QuotaTerms, ask: QuotaAsk) -> QuotaOutcome {
+    async fn ask(
+        &self,
+        workspace: &WorkspaceId,
+        quota: QuotaTerms,
+        ask: QuotaRequest,
+    ) -> QuotaOutcome {
         let now = Instant::now();
         let instances = self.peers.quota_members().len().max(self.least.get().unwrap_or(0));
         let reply = {
--- a/tests/quota_limits.rs
+++ b/tests/quota_limits.rs
@@ -4,9 +4,9 @@
 
 use merlinsaddle::core::ids::WorkspaceId;
 use merlinsaddle::core::quotas::{
-    BucketPace, LimitTerms, LimiterRegistry, LimiterRole, LimiterStanding, QuotaAsk, QuotaBounds,
-    QuotaMember, QuotaQuestion, QuotaReply, QuotaShare, QuotaTerms, QuotaView, TokenBucket,
-    WorkspaceLimiter,
+    BucketPace, LimitTerms, LimiterRegistry, LimiterRequest, LimiterRole, LimiterStanding,
+    QuotaBounds, QuotaMember, QuotaReply, QuotaRequest, QuotaShare, QuotaTerms, QuotaView,
+    TokenBucket, WorkspaceLimiter,
 };
 use merlinsaddle::core::workspaces::owned_name;
 use rstest::rstest;
@@ -15,8 +15,8 @@
 const BOUNDS: QuotaBounds = QuotaBounds { window: Duration::from_secs(5), over: 0.1, slack: 20.0 };
 const STRICT: QuotaBounds = QuotaBounds { window: Duration::from_secs(5), over: 0.0, slack: 0.0 };
 const PRIMARY: LimiterRole = LimiterRole::Primary { share: 1.0 };
-const CALL: QuotaAsk = QuotaAsk { opens: false };
-const FIRST: QuotaAsk = QuotaAsk { opens: true };
+const CALL: QuotaRequest = QuotaRequest { is_first: false };
+const FIRST: QuotaRequest = QuotaRequest { is_first: true };
 
 fn limit(rate: f64, burst: f64, bounds: QuotaBounds) -> LimitTerms {
     LimitTerms { quota: QuotaTerms { rate, burst }, bounds, role: PRIMARY }
@@ -109,7 +109,7 @@
         for (_, number, since) in ready {
             // What programs need is learned from the first ones.
             let counts = u32::from(since >= 2_000);
-            let ask = QuotaAsk { opens: number == 0 };
+            let ask = QuotaRequest { is_first: number == 0 };
             match limiter.ask(ask, terms, by_program, now) {
                 QuotaReply::Granted { .. } => {
                     begun += counts * u32::from(number == 0);
@@ -243,8 +243,8 @@
     }
 }
 
-fn question<'a>(id: u64, workspace: &'a WorkspaceId, quota: QuotaTerms) -> QuotaQuestion<'a> {
-    QuotaQuestion { id, workspace, ask: CALL, quota }
+fn question<'a>(id: u64, workspace: &'a WorkspaceId, quota: QuotaTerms) -> LimiterRequest<'a> {
+    LimiterRequest { id, workspace, ask: CALL, quota }
 }
 
 /// An answer is lost and the question comes again: it is counted once.
--- a/tests/quota_world/mod.rs
+++ b/tests/quota_world/mod.rs
@@ -5,8 +5,8 @@
 
 use merlinsaddle::core::ids::WorkspaceId;
 use merlinsaddle::core::quotas::{
-    LimiterRegistry, LimiterStanding, QuotaAsk, QuotaBounds, QuotaMember, QuotaQuestion,
-    QuotaReply, QuotaTerms, QuotaView,
+    LimiterRegistry, LimiterRequest, LimiterStanding, QuotaBounds, QuotaMember, QuotaReply,
+    QuotaRequest, QuotaTerms, QuotaView,
 };
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
@@ -287,7 +287,7 @@
         self.next_id += 1;
         self.asked += 1;
         let id = self.next_id;
-        let ask = QuotaAsk { opens: self.rng.random_bool(0.08) };
+        let ask = QuotaRequest { is_first: self.rng.random_bool(0.08) };
         let asked = self.members[me].view.asked(workspace).map(|member| {
             member.map(|member| member.instance[1..].parse::<usize>().expect("a number"))
         });
@@ -297,7 +297,7 @@
             }
             let now = self.now;
             let Member { view, registry, quota, .. } = &mut self.members[target];
-            let question = QuotaQuestion { id, workspace, ask, quota: *quota };
+            let question = LimiterRequest { id, workspace, ask, quota: *quota };
             let (reply, chief) = registry.decide(question, view, now);
             if self.rng.random_bool(LOST) {
                 continue;
--- a/tests/stored_bytes.rs
+++ b/tests/stored_bytes.rs
@@ -10,7 +10,7 @@
 use merlinsaddle::core::orders::{EngineState, FencedOrder, LeaseRow};
 use merlinsaddle::core::outcome::CallOutcome;
 use merlinsaddle::core::ownership::{IncarnationRow, ShardRow};
-use merlinsaddle::core::quotas::{LimitSample, QuotaAsk, QuotaReply};
+use merlinsaddle::core::quotas::{LimitSample, QuotaReply, QuotaRequest};
 use merlinsaddle::core::timeline::TimelineEvent;
 use merlinsaddle::core::turns::{LineHolder, ProgramLedger, TurnRecord, TurnScope};
 use merlinsaddle::gateway::GatewaySettings;
@@ -65,7 +65,7 @@
 #[case::ledger(rewrite::<ProgramLedger>, r#"{"s":5,"o":{"t1":40,"t2":6},"k":1700}"#)]
 #[case::scope(rewrite::<Vec<TurnScope>>, r#"["history","tokens"]"#)]
 #[case::holder(rewrite::<LineHolder>, r#"{"line":"l","upstream":"u","born":12}"#)]
-#[case::quota_ask(rewrite::<QuotaAsk>, r#"{"opens":true}"#)]
+#[case::quota_ask(rewrite::<QuotaRequest>, r#"{"opens":true}"#)]
 #[case::quota_replies(
     rewrite::<Vec<QuotaReply>>,
     r#"[{"granted":{"after":{"secs":0,"nanos":5}}},{"refused":{"retry_after":{"secs":1,"nanos":0}}}]"#
