--- a/src/core/quotas/limiter.rs
+++ b/src/core/quotas/limiter.rs
@@ -185,9 +185,9 @@
 
     /// Decides about a request. `by_program` tells whether first requests are held to what their
     /// programs need.
-    pub fn ask(
+    pub fn decide(
         &mut self,
-        ask: QuotaRequest,
+        request: QuotaRequest,
         limit: LimitTerms,
         by_program: bool,
         now: Instant,
@@ -198,7 +198,7 @@
         self.programs.fill(programs, now);
         let planned = self.programs.wait(need, programs);
         let pressed = self.calls.level() < PRESSED_LEVEL * calls.most;
-        if ask.is_first && by_program && pressed && planned > HOLD {
+        if request.is_first && by_program && pressed && planned > HOLD {
             self.refused += 1;
             let step = programs.time_for(need);
             let retry_after = self.programs_back.line_up(planned, step, now);
@@ -208,26 +208,26 @@
             self.refused += 1;
             // It was needed all the same: counted by what is let in alone, programs seem to need the
             // less the more of their calls are refused, and ever more of them are begun.
-            if !ask.is_first {
+            if !request.is_first {
                 self.need.note(false, now);
             }
             let step = calls.time_for(1.0);
             let retry_after = self.calls_back.line_up(self.calls.wait(1.0, calls), step, now);
             return QuotaReply::Refused { retry_after };
         };
-        if ask.is_first {
+        if request.is_first {
             self.programs.charge(need, programs);
         }
-        self.need.note(ask.is_first, now);
+        self.need.note(request.is_first, now);
         QuotaReply::Granted { after }
     }
 
     /// Takes back a place that was granted lately and not used.
-    pub fn give_back(&mut self, ask: QuotaRequest, limit: LimitTerms) {
+    pub fn give_back(&mut self, request: QuotaRequest, limit: LimitTerms) {
         // First of all it was never there, or less is put back than was charged.
-        self.need.forget(ask.is_first);
+        self.need.forget(request.is_first);
         self.calls.put_back(1.0, limit.call_pace());
-        if ask.is_first {
+        if request.is_first {
             let need = self.need.mean();
             self.programs.put_back(need, limit.program_pace(need));
         }
--- a/src/core/quotas/registry.rs
+++ b/src/core/quotas/registry.rs
@@ -68,7 +68,7 @@
     /// The same for each time it is asked.
     pub id: QuotaRequestId,
     pub workspace: &'a WorkspaceId,
-    pub ask: QuotaRequest,
+    pub request: QuotaRequest,
     /// The workspace's limit by the configuration in force here.
     pub quota: QuotaTerms,
 }
@@ -114,33 +114,34 @@
     /// Decides about a request; whether this instance limits the workspace for all.
     pub fn decide(
         &mut self,
-        question: LimiterRequest<'_>,
+        request: LimiterRequest<'_>,
         view: &QuotaView,
         now: Instant,
     ) -> (QuotaReply, bool) {
         self.drop_transferred(view, now);
-        let role = view.role(question.workspace, now);
+        let role = view.role(request.workspace, now);
         let chief = role.is_primary();
-        if let Some((_, reply)) = self.replies.get(&question.id) {
+        if let Some((_, reply)) = self.replies.get(&request.id) {
             return (*reply, chief);
         }
         let by_program = self.by_program;
-        let entry = self.limiter(&question, role, view, now);
-        let reply = entry.limiter.ask(question.ask, entry.effective_params(now), by_program, now);
-        self.replies.insert(question.id, (now, reply));
+        let entry = self.limiter(&request, role, view, now);
+        let reply =
+            entry.limiter.decide(request.request, entry.effective_params(now), by_program, now);
+        self.replies.insert(request.id, (now, reply));
         (reply, chief)
     }
 
     /// The limiter of a workspace, with the limit as the members stand.
     fn limiter(
         &mut self,
-        question: &LimiterRequest<'_>,
+        request: &LimiterRequest<'_>,
         role: LimiterRole,
         view: &QuotaView,
         now: Instant,
     ) -> &mut LimiterEntry {
-        let limit = LimitTerms { quota: question.quota, bounds: self.bounds, role };
-        let taken_over = view.taken_over(question.workspace);
+        let limit = LimitTerms { quota: request.quota, bounds: self.bounds, role };
+        let taken_over = view.taken_over(request.workspace);
         // Nobody has asked since it is this one's, so nothing was given out.
         let (empty, entries) = match role {
             LimiterRole::Primary { .. } => {
@@ -152,13 +153,13 @@
             let limiter = WorkspaceLimiter::new(empty, limit, now);
             LimiterEntry { limiter, limit, taken_over }
         };
-        let entry = entries.entry(question.workspace.clone()).or_insert_with(fresh);
+        let entry = entries.entry(request.workspace.clone()).or_insert_with(fresh);
         entry.limit = limit;
         entry
     }
 
     /// Takes back a place; one of a limiter that is no longer here is lost.
-    pub fn give_back(&mut self, workspace: &str, ask: QuotaRequest, now: Instant) {
+    pub fn give_back(&mut self, workspace: &str, request: QuotaRequest, now: Instant) {
         if let Some(entry) = self.primaries.get_mut(workspace) {
             entry.limiter.give_back(ask, entry.effective_params(now));
         }
--- a/src/core/quotas/share.rs
+++ b/src/core/quotas/share.rs
@@ -19,7 +19,7 @@
     }
 
     /// Decides about a request at one of `instances`.
-    pub fn ask(
+    pub fn decide(
         &mut self,
         terms: QuotaTerms,
         bounds: QuotaBounds,
--- a/src/gateway/quotas/asker.rs
+++ b/src/gateway/quotas/asker.rs
@@ -172,7 +172,7 @@
                 if self.least.get().is_none() {
                     return;
                 }
-                let question = LimiterRequest { id, workspace: &workspace, ask, quota };
+                let question = LimiterRequest { id, workspace: &workspace, request: ask, quota };
                 let (reply, chief) = self.decide(question);
                 let chief = if chief { None } else { self.chief_address(&workspace) };
                 self.peers.send(from, &QuotaMessage::Reply { id, reply, chief }.encode());
@@ -212,7 +212,7 @@
         round: usize,
         replies: &mut UnboundedReceiver<HeardReply>,
     ) -> Option<LimitAnswer> {
-        let LimiterRequest { id, workspace, ask, .. } = question;
+        let LimiterRequest { id, workspace, request: ask, .. } = question;
         let (peers, own) = self.targets(workspace, round);
         let datagram = QuotaMessage::Ask { id, workspace: workspace.clone(), ask }.encode();
         peers.iter().for_each(|peer| self.peers.send(peer, &datagram));
@@ -254,7 +254,7 @@
         ask: QuotaRequest,
     ) -> Option<LimitAnswer> {
         let id: QuotaRequestId = rand::random();
-        let question = LimiterRequest { id, workspace, ask, quota };
+        let question = LimiterRequest { id, workspace, request: ask, quota };
         let (sender, mut replies) = unbounded_channel();
         self.waiting.borrow_mut().insert(id, sender);
         let _open = OpenQuestion { waiting: &self.waiting, id };
--- a/src/gateway/quotas/shares.rs
+++ b/src/gateway/quotas/shares.rs
@@ -40,7 +40,7 @@
         let reply = {
             let mut shares = self.shares.borrow_mut();
             let share = shares.entry(workspace.clone()).or_insert_with(|| QuotaShare::new(now));
-            share.ask(quota, self.bounds, instances, now)
+            share.decide(quota, self.bounds, instances, now)
         };
         match reply {
             QuotaReply::Granted { after } => {
--- a/tests/quota_limits.rs
+++ b/tests/quota_limits.rs
@@ -50,7 +50,7 @@
     let begun = Instant::now();
     let mut runs: Vec<Duration> = Vec::new();
     while begun.elapsed() < Duration::from_secs(60) {
-        if let QuotaReply::Granted { after } = limiter.ask(CALL, terms, true, Instant::now()) {
+        if let QuotaReply::Granted { after } = limiter.decide(CALL, terms, true, Instant::now()) {
             runs.push(begun.elapsed() + after);
         }
         advance(Duration::from_millis(5)).await;
@@ -71,7 +71,7 @@
     let mut limiter = WorkspaceLimiter::new(now, terms, now);
     let mut returns = Vec::new();
     for _ in 0..8 {
-        if let QuotaReply::Refused { retry_after } = limiter.ask(CALL, terms, true, now) {
+        if let QuotaReply::Refused { retry_after } = limiter.decide(CALL, terms, true, now) {
             returns.push(retry_after.as_millis());
         }
     }
@@ -110,7 +110,7 @@
             // What programs need is learned from the first ones.
             let counts = u32::from(since >= 2_000);
             let ask = QuotaRequest { is_first: number == 0 };
-            match limiter.ask(ask, terms, by_program, now) {
+            match limiter.decide(ask, terms, by_program, now) {
                 QuotaReply::Granted { .. } => {
                     begun += counts * u32::from(number == 0);
                     match number + 1 < requests {
@@ -133,10 +133,10 @@
     let terms = limit(1.0, 1.0, STRICT);
     let mut limiter = WorkspaceLimiter::new(Instant::now(), terms, Instant::now());
     advance(Duration::from_secs(10)).await;
-    assert!(is_granted(limiter.ask(CALL, terms, true, Instant::now())));
-    assert!(!is_granted(limiter.ask(CALL, terms, true, Instant::now())));
+    assert!(is_granted(limiter.decide(CALL, terms, true, Instant::now())));
+    assert!(!is_granted(limiter.decide(CALL, terms, true, Instant::now())));
     limiter.give_back(CALL, terms);
-    assert!(is_granted(limiter.ask(CALL, terms, true, Instant::now())));
+    assert!(is_granted(limiter.decide(CALL, terms, true, Instant::now())));
 }
 
 #[tokio::test(start_paused = true)]
@@ -146,7 +146,7 @@
     let mut limiter = WorkspaceLimiter::new(Instant::now(), standby, Instant::now());
     for terms in [terms, standby] {
         for ask in [CALL, FIRST] {
-            let reply = limiter.ask(ask, terms, true, Instant::now());
+            let reply = limiter.decide(ask, terms, true, Instant::now());
             let QuotaReply::Refused { retry_after } = reply else { panic!("{reply:?}") };
             assert!(retry_after <= Duration::from_secs(2));
         }
@@ -243,8 +243,8 @@
     }
 }
 
-fn question<'a>(id: u64, workspace: &'a WorkspaceId, quota: QuotaTerms) -> LimiterRequest<'a> {
-    LimiterRequest { id, workspace, ask: CALL, quota }
+fn request<'a>(id: u64, workspace: &'a WorkspaceId, quota: QuotaTerms) -> LimiterRequest<'a> {
+    LimiterRequest { id, workspace, request: CALL, quota }
 }
 
 /// An answer is lost and the question comes again: it is counted once.
@@ -257,11 +257,11 @@
     let mut registry = LimiterRegistry::new(STRICT, true, Instant::now() - Duration::from_secs(10));
     for _ in 0..5 {
         let (reply, primary) =
-            registry.decide(question(1, &workspace, quota), &view, Instant::now());
+            registry.decide(request(1, &workspace, quota), &view, Instant::now());
         assert!(is_granted(reply) && primary);
     }
-    assert!(is_granted(registry.decide(question(2, &workspace, quota), &view, Instant::now()).0));
-    let (reply, _) = registry.decide(question(3, &workspace, quota), &view, Instant::now());
+    assert!(is_granted(registry.decide(request(2, &workspace, quota), &view, Instant::now()).0));
+    let (reply, _) = registry.decide(request(3, &workspace, quota), &view, Instant::now());
     assert!(!is_granted(reply));
 }
 
@@ -284,14 +284,14 @@
         registry.samples(Instant::now()).first().map(|sample| sample.level)
     };
     advance(Duration::from_secs(100)).await;
-    registry.decide(question(1, &workspace, quota), &view, Instant::now());
+    registry.decide(request(1, &workspace, quota), &view, Instant::now());
     assert_eq!(level(&registry), Some(49.0));
     view.update(members(&[Alive; 2]), 0, Instant::now());
     registry.tick(&view, Instant::now());
     assert_eq!(level(&registry), None);
     advance(Duration::from_secs(30)).await;
     view.update(members(&without), 0, Instant::now());
-    registry.decide(question(2, &workspace, quota), &view, Instant::now());
+    registry.decide(request(2, &workspace, quota), &view, Instant::now());
     assert!(level(&registry).expect("it limits again") < 1.0, "{:?}", level(&registry));
     // Another member's end does not concern it: what has filled up stays.
     advance(Duration::from_secs(100)).await;
@@ -314,7 +314,7 @@
     view.update(three.clone(), 0, Instant::now());
     three[2].standing = Gone;
     view.update(three, 0, Instant::now());
-    registry.decide(question(3, &workspace, quota), &view, Instant::now());
+    registry.decide(request(3, &workspace, quota), &view, Instant::now());
     assert!(level(&registry).expect("it limits") > 30.0, "{:?}", level(&registry));
 }
 
@@ -327,7 +327,7 @@
     let mut registry = LimiterRegistry::new(STRICT, true, Instant::now());
     advance(Duration::from_secs(30)).await;
     registry.restart(Instant::now());
-    registry.decide(question(1, &workspace, quota), &view, Instant::now());
+    registry.decide(request(1, &workspace, quota), &view, Instant::now());
     assert!(registry.samples(Instant::now())[0].level < 1.0);
 }
 
@@ -347,7 +347,7 @@
         while start.elapsed() < BOUNDS.window {
             for (terms, limiter) in &mut limiters {
                 while let QuotaReply::Granted { after } =
-                    limiter.ask(CALL, *terms, true, Instant::now())
+                    limiter.decide(CALL, *terms, true, Instant::now())
                     && start.elapsed() + after <= BOUNDS.window
                 {
                     count += 1;
@@ -371,7 +371,7 @@
         (0..INSTANCES).map(|_| QuotaShare::new(Instant::now())).collect();
     advance(Duration::from_secs(60)).await;
     let ask =
-        |share: &mut QuotaShare| is_granted(share.ask(quota, BOUNDS, INSTANCES, Instant::now()));
+        |share: &mut QuotaShare| is_granted(share.decide(quota, BOUNDS, INSTANCES, Instant::now()));
     let granted = shares.iter_mut().map(|share| usize::from(ask(share))).sum::<usize>();
     let bound = BOUNDS.limit(quota) + BOUNDS.margin(quota);
     assert!(granted as f64 > bound, "{granted} at once of {bound}");
--- a/tests/quota_world/mod.rs
+++ b/tests/quota_world/mod.rs
@@ -297,8 +297,8 @@
             }
             let now = self.now;
             let Member { view, registry, quota, .. } = &mut self.members[target];
-            let question = LimiterRequest { id, workspace, ask, quota: *quota };
-            let (reply, chief) = registry.decide(question, view, now);
+            let request = LimiterRequest { id, workspace, request: ask, quota: *quota };
+            let (reply, chief) = registry.decide(request, view, now);
             if self.rng.random_bool(LOST) {
                 continue;
             }
