--- a/src/bench/workspace_cores.rs
+++ b/src/bench/workspace_cores.rs
@@ -73,7 +73,7 @@
         let workspace = &names[id % names.len()];
         black_box(view.asked(workspace));
         let ask = QuotaRequest { is_first: id % 12 == 0 };
-        let question = LimiterRequest { id: id as u64, workspace, request: ask, quota };
+        let question = LimiterRequest { id: id as u64, workspace, quota_request: ask, quota };
         black_box(registry.decide(question, &view, now));
     }
     slope("a place within a limit", count, started.elapsed(), OPERATIONS, 0.0)
--- a/src/core/quotas/limiter.rs
+++ b/src/core/quotas/limiter.rs
@@ -223,7 +223,7 @@
     }
 
     /// Takes back a place that was granted lately and not used.
-    pub fn give_back(&mut self, request: QuotaRequest, limit: LimitTerms) {
+    pub fn release(&mut self, request: QuotaRequest, limit: LimitTerms) {
         // First of all it was never there, or less is put back than was charged.
         self.need.forget(request.is_first);
         self.calls.put_back(1.0, limit.call_pace());
--- a/src/core/quotas/registry.rs
+++ b/src/core/quotas/registry.rs
@@ -68,7 +68,7 @@
     /// The same for each time it is asked.
     pub id: QuotaRequestId,
     pub workspace: &'a WorkspaceId,
-    pub request: QuotaRequest,
+    pub quota_request: QuotaRequest,
     /// The workspace's limit by the configuration in force here.
     pub quota: QuotaTerms,
 }
@@ -126,8 +126,12 @@
         }
         let by_program = self.by_program;
         let entry = self.limiter(&request, role, view, now);
-        let reply =
-            entry.limiter.decide(request.request, entry.effective_params(now), by_program, now);
+        let reply = entry.limiter.decide(
+            request.quota_request,
+            entry.effective_params(now),
+            by_program,
+            now,
+        );
         self.replies.insert(request.id, (now, reply));
         (reply, chief)
     }
@@ -159,9 +163,9 @@
     }
 
     /// Takes back a place; one of a limiter that is no longer here is lost.
-    pub fn give_back(&mut self, workspace: &str, request: QuotaRequest, now: Instant) {
+    pub fn release(&mut self, workspace: &str, request: QuotaRequest, now: Instant) {
         if let Some(entry) = self.primaries.get_mut(workspace) {
-            entry.limiter.give_back(ask, entry.effective_params(now));
+            entry.limiter.release(request, entry.effective_params(now));
         }
     }
 
--- a/src/gateway/quotas/asker.rs
+++ b/src/gateway/quotas/asker.rs
@@ -172,7 +172,8 @@
                 if self.least.get().is_none() {
                     return;
                 }
-                let question = LimiterRequest { id, workspace: &workspace, request: ask, quota };
+                let question =
+                    LimiterRequest { id, workspace: &workspace, quota_request: ask, quota };
                 let (reply, chief) = self.decide(question);
                 let chief = if chief { None } else { self.chief_address(&workspace) };
                 self.peers.send(from, &QuotaMessage::Reply { id, reply, chief }.encode());
@@ -184,7 +185,7 @@
                 }
             }
             QuotaMessage::GiveBack { workspace, ask } => {
-                self.desk.borrow_mut().give_back(&workspace, ask, Instant::now());
+                self.desk.borrow_mut().release(&workspace, ask, Instant::now());
             }
         }
     }
@@ -212,7 +213,7 @@
         round: usize,
         replies: &mut UnboundedReceiver<HeardReply>,
     ) -> Option<LimitAnswer> {
-        let LimiterRequest { id, workspace, request: ask, .. } = question;
+        let LimiterRequest { id, workspace, quota_request: ask, .. } = question;
         let (peers, own) = self.targets(workspace, round);
         let datagram = QuotaMessage::Ask { id, workspace: workspace.clone(), ask }.encode();
         peers.iter().for_each(|peer| self.peers.send(peer, &datagram));
@@ -254,7 +255,7 @@
         ask: QuotaRequest,
     ) -> Option<LimitAnswer> {
         let id: QuotaRequestId = rand::random();
-        let question = LimiterRequest { id, workspace, request: ask, quota };
+        let question = LimiterRequest { id, workspace, quota_request: ask, quota };
         let (sender, mut replies) = unbounded_channel();
         self.waiting.borrow_mut().insert(id, sender);
         let _open = OpenQuestion { waiting: &self.waiting, id };
@@ -327,7 +328,7 @@
                 let message = QuotaMessage::GiveBack { workspace: workspace.clone(), ask: *ask };
                 self.peers.send(limiter, &message.encode());
             }
-            None => self.desk.borrow_mut().give_back(&place.workspace, place.ask, Instant::now()),
+            None => self.desk.borrow_mut().release(&place.workspace, place.ask, Instant::now()),
         }
     }
 
--- a/tests/quota_limits.rs
+++ b/tests/quota_limits.rs
@@ -135,7 +135,7 @@
     advance(Duration::from_secs(10)).await;
     assert!(is_granted(limiter.decide(CALL, terms, true, Instant::now())));
     assert!(!is_granted(limiter.decide(CALL, terms, true, Instant::now())));
-    limiter.give_back(CALL, terms);
+    limiter.release(CALL, terms);
     assert!(is_granted(limiter.decide(CALL, terms, true, Instant::now())));
 }
 
@@ -244,7 +244,7 @@
 }
 
 fn request<'a>(id: u64, workspace: &'a WorkspaceId, quota: QuotaTerms) -> LimiterRequest<'a> {
-    LimiterRequest { id, workspace, request: CALL, quota }
+    LimiterRequest { id, workspace, quota_request: CALL, quota }
 }
 
 /// An answer is lost and the question comes again: it is counted once.
--- a/tests/quota_world/mod.rs
+++ b/tests/quota_world/mod.rs
@@ -297,14 +297,14 @@
             }
             let now = self.now;
             let Member { view, registry, quota, .. } = &mut self.members[target];
-            let request = LimiterRequest { id, workspace, request: ask, quota: *quota };
+            let request = LimiterRequest { id, workspace, quota_request: ask, quota: *quota };
             let (reply, chief) = registry.decide(request, view, now);
             if self.rng.random_bool(LOST) {
                 continue;
             }
             match reply {
                 QuotaReply::Granted { .. } if self.rng.random_bool(GIVE_BACK) => {
-                    self.members[target].registry.give_back(workspace, ask, now);
+                    self.members[target].registry.release(workspace, ask, now);
                     return;
                 }
                 QuotaReply::Granted { after } => {
