--- a/src/bench/workspace_cores.rs
+++ b/src/bench/workspace_cores.rs
@@ -6,8 +6,8 @@
 use super::cores::{CoreSlope, measure_build, slope};
 use crate::core::ids::WorkspaceId;
 use crate::core::quotas::{
-    LimiterRegistry, LimiterRequest, LimiterStanding, QuotaBounds, QuotaMember, QuotaRequest,
-    QuotaTerms, QuotaView,
+    LimiterRegistry, LimiterRequest, LimiterStanding, QuotaBounds, QuotaLimit, QuotaMember,
+    QuotaRequest, QuotaView,
 };
 use crate::core::workspaces::{ApiKey, WorkspaceSpec, WorkspaceTable};
 
@@ -40,7 +40,7 @@
         name: format!("workspace-{workspace}").into(),
         keys: (0..KEYS).map(|number| key(workspace, number)).collect(),
         priority: Some(1),
-        quota: Some(QuotaTerms { rate: 10.0, burst: 10.0 }),
+        quota: Some(QuotaLimit { rate: 10.0, burst: 10.0 }),
     }))
 }
 
@@ -67,7 +67,7 @@
     let view = QuotaView::new("instance-0".into(), (0..count).map(member).collect(), 0, now);
     let mut registry = LimiterRegistry::new(BOUNDS, true, now);
     let names: Vec<WorkspaceId> = (0..86).map(|n| format!("workspace-{n}").into()).collect();
-    let quota = QuotaTerms { rate: 1e6, burst: 1e6 };
+    let quota = QuotaLimit { rate: 1e6, burst: 1e6 };
     let started = Instant::now();
     for id in 0..OPERATIONS {
         let workspace = &names[id % names.len()];
--- a/src/core/quotas/limiter.rs
+++ b/src/core/quotas/limiter.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use super::bucket::{BucketPace, TokenBucket};
-use super::{HOLD, QuotaBounds, QuotaReply, QuotaTerms};
+use super::{HOLD, QuotaBounds, QuotaLimit, QuotaReply};
 
 /// Part of the margin that a limiter itself uses: two fifths. As much is for its deputy, and a fifth for
 /// chance while members that have started find out who goes before whom: with all of it shared out, a
@@ -56,8 +56,8 @@
 
 /// The limit of a workspace as one instance applies it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct LimitTerms {
-    pub quota: QuotaTerms,
+pub struct LimiterParams {
+    pub quota: QuotaLimit,
     pub bounds: QuotaBounds,
     pub role: LimiterRole,
 }
@@ -69,7 +69,7 @@
     }
 }
 
-impl LimitTerms {
+impl LimiterParams {
     /// What is let in at once and a second.
     fn call_pace(&self) -> BucketPace {
         match self.role {
@@ -173,12 +173,12 @@
 
 impl WorkspaceLimiter {
     /// A limiter that has been responsible since a moment, and whose workspace has asked nothing.
-    pub fn new(since: Instant, limit: LimitTerms, now: Instant) -> Self {
+    pub fn new(since: Instant, params: LimiterParams, now: Instant) -> Self {
         let need = ProgramNeed::new(now);
         let mut calls = TokenBucket::new(0.0, since);
-        calls.fill(limit.call_pace(), now);
+        calls.fill(params.call_pace(), now);
         let mut programs = TokenBucket::new(0.0, since);
-        programs.fill(limit.program_pace(need.mean()), now);
+        programs.fill(params.program_pace(need.mean()), now);
         let back = ReturnQueue { next: now };
         Self { calls, programs, need, calls_back: back, programs_back: back, refused: 0 }
     }
@@ -188,12 +188,12 @@
     pub fn decide(
         &mut self,
         request: QuotaRequest,
-        limit: LimitTerms,
+        params: LimiterParams,
         by_program: bool,
         now: Instant,
     ) -> QuotaReply {
         let need = self.need.mean();
-        let (calls, programs) = (limit.call_pace(), limit.program_pace(need));
+        let (calls, programs) = (params.call_pace(), params.program_pace(need));
         self.calls.fill(calls, now);
         self.programs.fill(programs, now);
         let planned = self.programs.wait(need, programs);
@@ -223,13 +223,13 @@
     }
 
     /// Takes back a place that was granted lately and not used.
-    pub fn release(&mut self, request: QuotaRequest, limit: LimitTerms) {
+    pub fn release(&mut self, request: QuotaRequest, params: LimiterParams) {
         // First of all it was never there, or less is put back than was charged.
         self.need.forget(request.is_first);
-        self.calls.put_back(1.0, limit.call_pace());
+        self.calls.put_back(1.0, params.call_pace());
         if request.is_first {
             let need = self.need.mean();
-            self.programs.put_back(need, limit.program_pace(need));
+            self.programs.put_back(need, params.program_pace(need));
         }
     }
 
@@ -240,9 +240,9 @@
     }
 
     /// Requests that may go on now; below zero where some wait.
-    pub fn level(&self, limit: LimitTerms, now: Instant) -> f64 {
+    pub fn level(&self, params: LimiterParams, now: Instant) -> f64 {
         let mut calls = self.calls;
-        calls.fill(limit.call_pace(), now);
+        calls.fill(params.call_pace(), now);
         calls.level()
     }
 
--- a/src/core/quotas/mod.rs
+++ b/src/core/quotas/mod.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 
 pub use bucket::{BucketPace, TokenBucket};
-pub use limiter::{LimitTerms, LimiterRole, QuotaRequest, WorkspaceLimiter};
+pub use limiter::{LimiterParams, LimiterRole, QuotaRequest, WorkspaceLimiter};
 pub use registry::{LimitSample, LimiterRegistry, LimiterRequest, QuotaRequestId};
 pub use share::QuotaShare;
 pub use view::{LimiterStanding, QuotaMember, QuotaView};
@@ -28,7 +28,7 @@
 
 /// The limit of one workspace.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct QuotaTerms {
+pub struct QuotaLimit {
     /// Requests a second, above 0.
     pub rate: f64,
     /// Requests beyond that at once, at least 1.
@@ -48,13 +48,13 @@
 
 impl QuotaBounds {
     /// Requests that a workspace may have run in any window beyond its limit.
-    pub fn margin(&self, terms: QuotaTerms) -> f64 {
-        self.over * self.limit(terms) + self.slack
+    pub fn margin(&self, limit: QuotaLimit) -> f64 {
+        self.over * self.limit(limit) + self.slack
     }
 
     /// Requests that the limit itself allows in a window.
-    pub fn limit(&self, terms: QuotaTerms) -> f64 {
-        terms.rate * self.window.as_secs_f64() + terms.burst
+    pub fn limit(&self, limit: QuotaLimit) -> f64 {
+        limit.rate * self.window.as_secs_f64() + limit.burst
     }
 }
 
--- a/src/core/quotas/registry.rs
+++ b/src/core/quotas/registry.rs
@@ -6,9 +6,9 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use super::limiter::{LimitTerms, LimiterRole, QuotaRequest, WorkspaceLimiter};
+use super::limiter::{LimiterParams, LimiterRole, QuotaRequest, WorkspaceLimiter};
 use super::view::QuotaView;
-use super::{QuotaBounds, QuotaReply, QuotaTerms};
+use super::{QuotaBounds, QuotaLimit, QuotaReply};
 use crate::core::ids::WorkspaceId;
 
 /// Pairs a reply with its question; drawn at random.
@@ -43,22 +43,22 @@
 struct LimiterEntry {
     limiter: WorkspaceLimiter,
     /// As the members stood when it was last asked.
-    limit: LimitTerms,
+    params: LimiterParams,
     /// When it took over from another one.
     taken_over: Option<Instant>,
 }
 
 impl LimiterEntry {
     /// The limit as it is applied now: half of it while another one may not know yet.
-    fn effective_params(&self, now: Instant) -> LimitTerms {
+    fn effective_params(&self, now: Instant) -> LimiterParams {
         let age = self.taken_over.map(|at| now.saturating_duration_since(at));
-        let role = match self.limit.role {
+        let role = match self.params.role {
             LimiterRole::Primary { share } if age.is_some_and(|age| age < TAKEOVER_DURATION) => {
                 LimiterRole::Primary { share: share / 2.0 }
             }
             role => role,
         };
-        LimitTerms { role, ..self.limit }
+        LimiterParams { role, ..self.params }
     }
 }
 
@@ -70,7 +70,7 @@
     pub workspace: &'a WorkspaceId,
     pub quota_request: QuotaRequest,
     /// The workspace's limit by the configuration in force here.
-    pub quota: QuotaTerms,
+    pub quota: QuotaLimit,
 }
 
 /// Answers whoever asks. It drops a limiter when the members say that another one limits the workspace,
@@ -144,7 +144,7 @@
         view: &QuotaView,
         now: Instant,
     ) -> &mut LimiterEntry {
-        let limit = LimitTerms { quota: request.quota, bounds: self.bounds, role };
+        let params = LimiterParams { quota: request.quota, bounds: self.bounds, role };
         let taken_over = view.taken_over(request.workspace);
         // Nobody has asked since it is this one's, so nothing was given out.
         let (empty, entries) = match role {
@@ -154,11 +154,11 @@
             LimiterRole::Standby | LimiterRole::Observer => (now, &mut self.standbys),
         };
         let fresh = || {
-            let limiter = WorkspaceLimiter::new(empty, limit, now);
-            LimiterEntry { limiter, limit, taken_over }
+            let limiter = WorkspaceLimiter::new(empty, params, now);
+            LimiterEntry { limiter, params, taken_over }
         };
         let entry = entries.entry(request.workspace.clone()).or_insert_with(fresh);
-        entry.limit = limit;
+        entry.params = params;
         entry
     }
 
@@ -189,11 +189,11 @@
     pub fn samples(&self, now: Instant) -> Vec<LimitSample> {
         let sample = |(workspace, entry): (&WorkspaceId, &LimiterEntry)| LimitSample {
             workspace: workspace.clone(),
-            rate: entry.limit.quota.rate,
-            burst: entry.limit.quota.burst,
+            rate: entry.params.quota.rate,
+            burst: entry.params.quota.burst,
             level: entry.limiter.level(entry.effective_params(now), now),
             refused: entry.limiter.refused(),
-            chief: entry.limit.role.is_primary(),
+            chief: entry.params.role.is_primary(),
         };
         let entries = self.primaries.iter().chain(&self.standbys);
         let mut samples: Vec<_> = entries.map(sample).collect();
--- a/src/core/quotas/share.rs
+++ b/src/core/quotas/share.rs
@@ -3,7 +3,7 @@
 use tokio::time::Instant;
 
 use super::bucket::{BucketPace, TokenBucket};
-use super::{HOLD, QuotaBounds, QuotaReply, QuotaTerms};
+use super::{HOLD, QuotaBounds, QuotaLimit, QuotaReply};
 
 /// One instance's part of a workspace's limit.
 #[derive(Debug, Clone)]
@@ -21,16 +21,16 @@
     /// Decides about a request at one of `instances`.
     pub fn decide(
         &mut self,
-        terms: QuotaTerms,
+        limit: QuotaLimit,
         bounds: QuotaBounds,
         instances: usize,
         now: Instant,
     ) -> QuotaReply {
         let part = 1.0 / instances.max(1) as f64;
-        let rate = terms.rate * (1.0 + bounds.over) * part;
+        let rate = limit.rate * (1.0 + bounds.over) * part;
         // A part below one request would hold none at all; that the whole is exceeded by the rounding
         // is what speaks against this way.
-        let most = ((terms.burst * (1.0 + bounds.over) + bounds.slack) * part).max(1.0);
+        let most = ((limit.burst * (1.0 + bounds.over) + bounds.slack) * part).max(1.0);
         let pace = BucketPace { rate, most };
         self.bucket.fill(pace, now);
         match self.bucket.take(1.0, pace, HOLD) {
--- a/src/core/workspaces/mod.rs
+++ b/src/core/workspaces/mod.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 
 use crate::core::ids::WorkspaceId;
-use crate::core::quotas::QuotaTerms;
+use crate::core::quotas::QuotaLimit;
 
 pub use name::owned_name;
 pub use table::{KeyProblem, WorkspaceTable};
@@ -40,5 +40,5 @@
     /// 0 is the most urgent; goes before the route's where it is set.
     pub priority: Option<u8>,
     /// How much it may ask; none if that is not limited.
-    pub quota: Option<QuotaTerms>,
+    pub quota: Option<QuotaLimit>,
 }
--- a/src/gateway/news/mod.rs
+++ b/src/gateway/news/mod.rs
@@ -26,7 +26,7 @@
 use super::rows::{RowVersion, StoredRow};
 use super::store::StoreLink;
 use crate::core::ids::UpstreamId;
-use crate::core::quotas::QuotaTerms;
+use crate::core::quotas::QuotaLimit;
 use crate::core::routing::{RouteTable, TableNews, TableVersion, TableView};
 use crate::core::upstreams::{ListNews, UpstreamEntry, UpstreamTable};
 use crate::util::pause::ClockMark;
@@ -293,7 +293,7 @@
 }
 
 impl QuotaSource for StoreNews {
-    fn quota(&self, workspace: &str) -> Option<QuotaTerms> {
+    fn quota(&self, workspace: &str) -> Option<QuotaLimit> {
         self.routes()?.workspaces()?.get(workspace)?.quota
     }
 }
--- a/src/gateway/quotas/asker.rs
+++ b/src/gateway/quotas/asker.rs
@@ -13,8 +13,8 @@
 use super::{LeastMembers, QuotaKeeper, QuotaOutcome, QuotaPeers, QuotaPlace, QuotaSource};
 use crate::core::ids::{InstanceId, WorkspaceId};
 use crate::core::quotas::{
-    LimitSample, LimiterRegistry, LimiterRequest, QuotaBounds, QuotaReply, QuotaRequest,
-    QuotaRequestId, QuotaTerms, QuotaView,
+    LimitSample, LimiterRegistry, LimiterRequest, QuotaBounds, QuotaLimit, QuotaReply,
+    QuotaRequest, QuotaRequestId, QuotaView,
 };
 use crate::gateway::latency::FailedPeers;
 use crate::gateway::members::QuotaListener;
@@ -251,7 +251,7 @@
     async fn ask_all(
         &self,
         workspace: &WorkspaceId,
-        quota: QuotaTerms,
+        quota: QuotaLimit,
         ask: QuotaRequest,
     ) -> Option<LimitAnswer> {
         let id: QuotaRequestId = rand::random();
@@ -295,7 +295,7 @@
     async fn ask(
         &self,
         workspace: &WorkspaceId,
-        quota: QuotaTerms,
+        quota: QuotaLimit,
         ask: QuotaRequest,
     ) -> QuotaOutcome {
         let Some(answer) = self.ask_all(workspace, quota, ask).await else {
--- a/src/gateway/quotas/asker_tests.rs
+++ b/src/gateway/quotas/asker_tests.rs
@@ -9,7 +9,7 @@
 use super::LimiterQuota;
 use crate::core::ids::WorkspaceId;
 use crate::core::quotas::{
-    LimiterStanding, QuotaBounds, QuotaMember, QuotaReply, QuotaRequest, QuotaTerms,
+    LimiterStanding, QuotaBounds, QuotaLimit, QuotaMember, QuotaReply, QuotaRequest,
 };
 use crate::gateway::members::QuotaListener;
 use crate::gateway::quotas::{
@@ -17,7 +17,7 @@
 };
 
 const BOUNDS: QuotaBounds = QuotaBounds { window: Duration::from_secs(5), over: 0.0, slack: 0.0 };
-const QUOTA: QuotaTerms = QuotaTerms { rate: 10.0, burst: 100.0 };
+const QUOTA: QuotaLimit = QuotaLimit { rate: 10.0, burst: 100.0 };
 const CALL: QuotaRequest = QuotaRequest { is_first: false };
 
 /// Members without a network: what is sent is kept.
@@ -61,7 +61,7 @@
 struct FakeSource;
 
 impl QuotaSource for FakeSource {
-    fn quota(&self, workspace: &str) -> Option<QuotaTerms> {
+    fn quota(&self, workspace: &str) -> Option<QuotaLimit> {
         (workspace != "unknown").then_some(QUOTA)
     }
 }
--- a/src/gateway/quotas/mod.rs
+++ b/src/gateway/quotas/mod.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 use crate::core::ids::WorkspaceId;
-use crate::core::quotas::{LimitSample, QuotaMember, QuotaRequest, QuotaTerms};
+use crate::core::quotas::{LimitSample, QuotaLimit, QuotaMember, QuotaRequest};
 
 pub(crate) use self::asker::LimiterQuota;
 pub(crate) use self::messages::QuotaMessage;
@@ -77,7 +77,7 @@
     async fn ask(
         &self,
         workspace: &WorkspaceId,
-        quota: QuotaTerms,
+        quota: QuotaLimit,
         ask: QuotaRequest,
     ) -> QuotaOutcome;
 
@@ -102,5 +102,5 @@
 /// What a limiter reads of the configuration.
 pub(crate) trait QuotaSource {
     /// The limit of a workspace; none if it has none, or if none is known yet.
-    fn quota(&self, workspace: &str) -> Option<QuotaTerms>;
+    fn quota(&self, workspace: &str) -> Option<QuotaLimit>;
 }
--- a/src/gateway/quotas/shares.rs
+++ b/src/gateway/quotas/shares.rs
@@ -10,7 +10,7 @@
 use super::{LeastMembers, QuotaKeeper, QuotaOutcome, QuotaPeers, QuotaPlace};
 use crate::core::ids::WorkspaceId;
 use crate::core::quotas::{
-    LimitSample, QuotaBounds, QuotaReply, QuotaRequest, QuotaShare, QuotaTerms,
+    LimitSample, QuotaBounds, QuotaLimit, QuotaReply, QuotaRequest, QuotaShare,
 };
 
 /// Limits in equal parts.
@@ -32,7 +32,7 @@
     async fn ask(
         &self,
         workspace: &WorkspaceId,
-        quota: QuotaTerms,
+        quota: QuotaLimit,
         ask: QuotaRequest,
     ) -> QuotaOutcome {
         let now = Instant::now();
--- a/tests/quota_limits.rs
+++ b/tests/quota_limits.rs
@@ -4,8 +4,8 @@
 
 use merlinsaddle::core::ids::WorkspaceId;
 use merlinsaddle::core::quotas::{
-    BucketPace, LimitTerms, LimiterRegistry, LimiterRequest, LimiterRole, LimiterStanding,
-    QuotaBounds, QuotaMember, QuotaReply, QuotaRequest, QuotaShare, QuotaTerms, QuotaView,
+    BucketPace, LimiterParams, LimiterRegistry, LimiterRequest, LimiterRole, LimiterStanding,
+    QuotaBounds, QuotaLimit, QuotaMember, QuotaReply, QuotaRequest, QuotaShare, QuotaView,
     TokenBucket, WorkspaceLimiter,
 };
 use merlinsaddle::core::workspaces::owned_name;
@@ -18,8 +18,8 @@
 const CALL: QuotaRequest = QuotaRequest { is_first: false };
 const FIRST: QuotaRequest = QuotaRequest { is_first: true };
 
-fn limit(rate: f64, burst: f64, bounds: QuotaBounds) -> LimitTerms {
-    LimitTerms { quota: QuotaTerms { rate, burst }, bounds, role: PRIMARY }
+fn limiter_params(rate: f64, burst: f64, bounds: QuotaBounds) -> LimiterParams {
+    LimiterParams { quota: QuotaLimit { rate, burst }, bounds, role: PRIMARY }
 }
 
 fn is_granted(reply: QuotaReply) -> bool {
@@ -45,12 +45,12 @@
 /// allows there, and it gets nearly all of that.
 #[tokio::test(start_paused = true)]
 async fn a_flood_gets_the_limit_and_no_more() {
-    let terms = limit(20.0, 20.0, STRICT);
-    let mut limiter = WorkspaceLimiter::new(Instant::now(), terms, Instant::now());
+    let params = limiter_params(20.0, 20.0, STRICT);
+    let mut limiter = WorkspaceLimiter::new(Instant::now(), params, Instant::now());
     let begun = Instant::now();
     let mut runs: Vec<Duration> = Vec::new();
     while begun.elapsed() < Duration::from_secs(60) {
-        if let QuotaReply::Granted { after } = limiter.decide(CALL, terms, true, Instant::now()) {
+        if let QuotaReply::Granted { after } = limiter.decide(CALL, params, true, Instant::now()) {
             runs.push(begun.elapsed() + after);
         }
         advance(Duration::from_millis(5)).await;
@@ -66,12 +66,12 @@
 /// Refused callers are told to come back one after another, at the pace at which there is room.
 #[tokio::test(start_paused = true)]
 async fn refused_requests_come_back_one_by_one() {
-    let terms = limit(10.0, 10.0, STRICT);
+    let params = limiter_params(10.0, 10.0, STRICT);
     let now = Instant::now();
-    let mut limiter = WorkspaceLimiter::new(now, terms, now);
+    let mut limiter = WorkspaceLimiter::new(now, params, now);
     let mut returns = Vec::new();
     for _ in 0..8 {
-        if let QuotaReply::Refused { retry_after } = limiter.decide(CALL, terms, true, now) {
+        if let QuotaReply::Refused { retry_after } = limiter.decide(CALL, params, true, now) {
             returns.push(retry_after.as_millis());
         }
     }
@@ -94,8 +94,8 @@
     #[case] most: f64,
 ) {
     let rate = 2.0 * f64::from(requests);
-    let terms = limit(rate, rate, STRICT);
-    let mut limiter = WorkspaceLimiter::new(Instant::now(), terms, Instant::now());
+    let params = limiter_params(rate, rate, STRICT);
+    let mut limiter = WorkspaceLimiter::new(Instant::now(), params, Instant::now());
     // Each entry: when the next request of a program is due, which it is, and when the program began.
     let mut due: Vec<(Instant, u32, u32)> = Vec::new();
     let (mut begun, mut ended) = (0, 0);
@@ -110,7 +110,7 @@
             // What programs need is learned from the first ones.
             let counts = u32::from(since >= 2_000);
             let ask = QuotaRequest { is_first: number == 0 };
-            match limiter.decide(ask, terms, by_program, now) {
+            match limiter.decide(ask, params, by_program, now) {
                 QuotaReply::Granted { .. } => {
                     begun += counts * u32::from(number == 0);
                     match number + 1 < requests {
@@ -130,23 +130,23 @@
 
 #[tokio::test(start_paused = true)]
 async fn what_was_not_used_goes_back() {
-    let terms = limit(1.0, 1.0, STRICT);
-    let mut limiter = WorkspaceLimiter::new(Instant::now(), terms, Instant::now());
+    let params = limiter_params(1.0, 1.0, STRICT);
+    let mut limiter = WorkspaceLimiter::new(Instant::now(), params, Instant::now());
     advance(Duration::from_secs(10)).await;
-    assert!(is_granted(limiter.decide(CALL, terms, true, Instant::now())));
-    assert!(!is_granted(limiter.decide(CALL, terms, true, Instant::now())));
-    limiter.release(CALL, terms);
-    assert!(is_granted(limiter.decide(CALL, terms, true, Instant::now())));
+    assert!(is_granted(limiter.decide(CALL, params, true, Instant::now())));
+    assert!(!is_granted(limiter.decide(CALL, params, true, Instant::now())));
+    limiter.release(CALL, params);
+    assert!(is_granted(limiter.decide(CALL, params, true, Instant::now())));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_limit_that_is_all_but_nothing_is_told_in_figures() {
-    let terms = limit(1e-300, 1.0, STRICT);
-    let standby = LimitTerms { role: LimiterRole::Standby, ..terms };
+    let params = limiter_params(1e-300, 1.0, STRICT);
+    let standby = LimiterParams { role: LimiterRole::Standby, ..params };
     let mut limiter = WorkspaceLimiter::new(Instant::now(), standby, Instant::now());
-    for terms in [terms, standby] {
+    for params in [params, standby] {
         for ask in [CALL, FIRST] {
-            let reply = limiter.decide(ask, terms, true, Instant::now());
+            let reply = limiter.decide(ask, params, true, Instant::now());
             let QuotaReply::Refused { retry_after } = reply else { panic!("{reply:?}") };
             assert!(retry_after <= Duration::from_secs(2));
         }
@@ -243,7 +243,7 @@
     }
 }
 
-fn request<'a>(id: u64, workspace: &'a WorkspaceId, quota: QuotaTerms) -> LimiterRequest<'a> {
+fn request<'a>(id: u64, workspace: &'a WorkspaceId, quota: QuotaLimit) -> LimiterRequest<'a> {
     LimiterRequest { id, workspace, quota_request: CALL, quota }
 }
 
@@ -251,7 +251,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_repeated_question_is_counted_once() {
     let view = view_of(0, &[LimiterStanding::Alive], 0);
-    let quota = QuotaTerms { rate: 1.0, burst: 2.0 };
+    let quota = QuotaLimit { rate: 1.0, burst: 2.0 };
     let workspace = "acme".into();
     advance(Duration::from_secs(10)).await;
     let mut registry = LimiterRegistry::new(STRICT, true, Instant::now() - Duration::from_secs(10));
@@ -279,7 +279,7 @@
     without[other] = Gone;
     let mut view = view_of(me, &without, 0);
     let mut registry = LimiterRegistry::new(STRICT, true, Instant::now());
-    let quota = QuotaTerms { rate: 10.0, burst: 100.0 };
+    let quota = QuotaLimit { rate: 10.0, burst: 100.0 };
     let level = |registry: &LimiterRegistry| {
         registry.samples(Instant::now()).first().map(|sample| sample.level)
     };
@@ -323,7 +323,7 @@
 async fn a_limiter_begins_empty_after_a_pause() {
     let view = view_of(0, &[LimiterStanding::Alive], 0);
     let workspace: Box<str> = "acme".into();
-    let quota = QuotaTerms { rate: 10.0, burst: 100.0 };
+    let quota = QuotaLimit { rate: 10.0, burst: 100.0 };
     let mut registry = LimiterRegistry::new(STRICT, true, Instant::now());
     advance(Duration::from_secs(30)).await;
     registry.restart(Instant::now());
@@ -335,19 +335,19 @@
 #[tokio::test(start_paused = true)]
 async fn a_limiter_and_its_deputy_keep_the_bound() {
     for (rate, burst) in [(1.0, 1.0), (8.0, 8.0), (200.0, 200.0), (50.0, 5.0)] {
-        let quota = QuotaTerms { rate, burst };
-        let primary = LimitTerms { quota, bounds: BOUNDS, role: PRIMARY };
-        let standby = LimitTerms { role: LimiterRole::Standby, ..primary };
+        let quota = QuotaLimit { rate, burst };
+        let primary = LimiterParams { quota, bounds: BOUNDS, role: PRIMARY };
+        let standby = LimiterParams { role: LimiterRole::Standby, ..primary };
         let begun = Instant::now();
         advance(Duration::from_secs(60)).await;
         let mut limiters = [primary, standby]
-            .map(|terms| (terms, WorkspaceLimiter::new(begun, terms, Instant::now())));
+            .map(|params| (params, WorkspaceLimiter::new(begun, params, Instant::now())));
         let mut count = 0;
         let start = Instant::now();
         while start.elapsed() < BOUNDS.window {
-            for (terms, limiter) in &mut limiters {
+            for (params, limiter) in &mut limiters {
                 while let QuotaReply::Granted { after } =
-                    limiter.decide(CALL, *terms, true, Instant::now())
+                    limiter.decide(CALL, *params, true, Instant::now())
                     && start.elapsed() + after <= BOUNDS.window
                 {
                     count += 1;
@@ -366,7 +366,7 @@
 #[tokio::test(start_paused = true)]
 async fn equal_parts_of_a_small_limit_are_nothing_whole() {
     const INSTANCES: usize = 90;
-    let quota = QuotaTerms { rate: 3.0, burst: 3.0 };
+    let quota = QuotaLimit { rate: 3.0, burst: 3.0 };
     let mut shares: Vec<QuotaShare> =
         (0..INSTANCES).map(|_| QuotaShare::new(Instant::now())).collect();
     advance(Duration::from_secs(60)).await;
--- a/tests/quota_world/mod.rs
+++ b/tests/quota_world/mod.rs
@@ -5,8 +5,8 @@
 
 use merlinsaddle::core::ids::WorkspaceId;
 use merlinsaddle::core::quotas::{
-    LimiterRegistry, LimiterRequest, LimiterStanding, QuotaBounds, QuotaMember, QuotaReply,
-    QuotaRequest, QuotaTerms, QuotaView,
+    LimiterRegistry, LimiterRequest, LimiterStanding, QuotaBounds, QuotaLimit, QuotaMember,
+    QuotaReply, QuotaRequest, QuotaView,
 };
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
@@ -100,7 +100,7 @@
     /// Others have taken it for failed, and told it.
     doubted: bool,
     incarnation: u64,
-    quota: QuotaTerms,
+    quota: QuotaLimit,
 }
 
 pub struct World {
@@ -110,9 +110,9 @@
     begun: Instant,
     members: Vec<Member>,
     cut: (u16, Instant),
-    quota: QuotaTerms,
+    quota: QuotaLimit,
     /// Each limit with the moment of its change and those until which it is known where.
-    limits: Vec<(Instant, QuotaTerms)>,
+    limits: Vec<(Instant, QuotaLimit)>,
     /// Demand as a multiple of the limit.
     pub demand: f64,
     pub runs: Vec<Instant>,
@@ -127,7 +127,7 @@
 impl World {
     pub fn new(plan: Plan) -> Self {
         let now = Instant::now();
-        let quota = QuotaTerms { rate: plan.rate, burst: plan.rate };
+        let quota = QuotaLimit { rate: plan.rate, burst: plan.rate };
         let count = plan.members;
         let member = |me: usize| Member {
             view: QuotaView::new(name(me), Vec::new(), count, now),
@@ -204,7 +204,7 @@
                 }
             }
             Fault::Limit { rate } => {
-                self.quota = QuotaTerms { rate, burst: rate };
+                self.quota = QuotaLimit { rate, burst: rate };
                 self.limits.push((self.now, self.quota));
             }
             Fault::Demand { times } => self.demand = times,
@@ -352,7 +352,7 @@
     }
 
     /// The limit that binds in a window: the highest that was in force in it or shortly before.
-    fn binding(&self, from: Instant) -> QuotaTerms {
+    fn binding(&self, from: Instant) -> QuotaLimit {
         let until = from + BOUNDS.window;
         let mut highest = self.limits[0].1;
         highest.rate = 0.0;
