--- a/src/core/quotas/bucket.rs
+++ b/src/core/quotas/bucket.rs
@@ -6,16 +6,18 @@
 
 /// How fast a bucket fills, and what it holds at most.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct BucketPace {
+pub struct BucketParams {
     /// Requests a second.
     pub rate: f64,
-    pub most: f64,
+    pub capacity: f64,
 }
 
-impl BucketPace {
+impl BucketParams {
     /// Time in which so many requests come in.
-    pub fn time_for(&self, count: f64) -> Duration {
-        Duration::from_secs_f64((count.max(0.0) / self.rate.max(f64::MIN_POSITIVE)).min(LONGEST))
+    pub fn fill_time(&self, count: f64) -> Duration {
+        Duration::from_secs_f64(
+            (count.max(0.0) / self.rate.max(f64::MIN_POSITIVE)).min(MAX_WAIT_SECS),
+        )
     }
 }
 
@@ -27,7 +29,7 @@
 }
 
 /// Longest time that is told; a rate close to nothing would give none that can be written.
-const LONGEST: f64 = 3_600.0;
+const MAX_WAIT_SECS: f64 = 3_600.0;
 
 impl TokenBucket {
     pub fn new(level: f64, now: Instant) -> Self {
@@ -36,9 +38,9 @@
 
     /// Fills the bucket up to now. A limit that changed takes hold from here on: the level is carried
     /// over, cut to what the new one holds.
-    pub fn fill(&mut self, pace: BucketPace, now: Instant) {
+    pub fn refill(&mut self, params: BucketParams, now: Instant) {
         let elapsed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.level = (self.level + pace.rate * elapsed).min(pace.most);
+        self.level = (self.level + params.rate * elapsed).min(params.capacity);
         self.at = self.at.max(now);
     }
 
@@ -53,26 +55,31 @@
     }
 
     /// Takes out some requests, if they are there within `patience`; the time until then.
-    pub fn take(&mut self, count: f64, pace: BucketPace, patience: Duration) -> Option<Duration> {
-        let wait = self.wait(count, pace);
-        (wait <= patience).then(|| {
+    pub fn take(
+        &mut self,
+        count: f64,
+        params: BucketParams,
+        max_wait: Duration,
+    ) -> Option<Duration> {
+        let wait = self.wait(count, params);
+        (wait <= max_wait).then(|| {
             self.level -= count;
             wait
         })
     }
 
     /// Takes out requests whether they are there or not, down to as many below zero as it holds.
-    pub fn charge(&mut self, count: f64, pace: BucketPace) {
-        self.level = (self.level - count).max(-pace.most);
+    pub fn charge(&mut self, count: f64, params: BucketParams) {
+        self.level = (self.level - count).max(-params.capacity);
     }
 
     /// Puts back what was not used.
-    pub fn put_back(&mut self, count: f64, pace: BucketPace) {
-        self.level = (self.level + count).min(pace.most);
+    pub fn refund(&mut self, count: f64, params: BucketParams) {
+        self.level = (self.level + count).min(params.capacity);
     }
 
     /// Time until so many requests are there.
-    pub fn wait(&self, count: f64, pace: BucketPace) -> Duration {
-        pace.time_for(count - self.level)
+    pub fn wait(&self, count: f64, params: BucketParams) -> Duration {
+        params.fill_time(count - self.level)
     }
 }
--- a/src/core/quotas/limiter.rs
+++ b/src/core/quotas/limiter.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use super::bucket::{BucketPace, TokenBucket};
+use super::bucket::{BucketParams, TokenBucket};
 use super::{HOLD, QuotaBounds, QuotaLimit, QuotaReply};
 
 /// Part of the margin that a limiter itself uses: two fifths. As much is for its deputy, and a fifth for
@@ -71,28 +71,32 @@
 
 impl LimiterParams {
     /// What is let in at once and a second.
-    fn call_pace(&self) -> BucketPace {
+    fn call_bucket(&self) -> BucketParams {
         match self.role {
             LimiterRole::Primary { share } => {
                 let over = 1.0 + PRIMARY_TOLERANCE_SHARE * self.bounds.over;
-                let most = self.quota.burst * over + PRIMARY_TOLERANCE_SHARE * self.bounds.slack;
-                BucketPace { rate: self.quota.rate * over * share, most: most * share }
+                let capacity =
+                    self.quota.burst * over + PRIMARY_TOLERANCE_SHARE * self.bounds.slack;
+                BucketParams { rate: self.quota.rate * over * share, capacity: capacity * share }
             }
-            LimiterRole::Observer => BucketPace { rate: 0.0, most: 0.0 },
+            LimiterRole::Observer => BucketParams { rate: 0.0, capacity: 0.0 },
             LimiterRole::Standby => {
-                let most = STANDBY_TOLERANCE_SHARE * self.bounds.margin(self.quota);
-                BucketPace { rate: most / self.bounds.window.as_secs_f64().max(1.0), most }
+                let capacity = STANDBY_TOLERANCE_SHARE * self.bounds.margin(self.quota);
+                BucketParams {
+                    rate: capacity / self.bounds.window.as_secs_f64().max(1.0),
+                    capacity,
+                }
             }
         }
     }
 
     /// What new programs may need that have so many requests each: in a window as much as the limit
     /// holds there, and always some of them at once.
-    fn program_pace(&self, need: f64) -> BucketPace {
-        let calls = self.call_pace();
-        BucketPace {
+    fn program_bucket(&self, need: f64) -> BucketParams {
+        let calls = self.call_bucket();
+        BucketParams {
             rate: calls.rate * PLANNED_SHARE,
-            most: calls.most.max(PROGRAMS_AT_ONCE * need),
+            capacity: calls.capacity.max(PROGRAMS_AT_ONCE * need),
         }
     }
 }
@@ -176,9 +180,9 @@
     pub fn new(since: Instant, params: LimiterParams, now: Instant) -> Self {
         let need = ProgramNeed::new(now);
         let mut calls = TokenBucket::new(0.0, since);
-        calls.fill(params.call_pace(), now);
+        calls.refill(params.call_bucket(), now);
         let mut programs = TokenBucket::new(0.0, since);
-        programs.fill(params.program_pace(need.mean()), now);
+        programs.refill(params.program_bucket(need.mean()), now);
         let back = ReturnQueue { next: now };
         Self { calls, programs, need, calls_back: back, programs_back: back, refused: 0 }
     }
@@ -193,14 +197,14 @@
         now: Instant,
     ) -> QuotaReply {
         let need = self.need.mean();
-        let (calls, programs) = (params.call_pace(), params.program_pace(need));
-        self.calls.fill(calls, now);
-        self.programs.fill(programs, now);
+        let (calls, programs) = (params.call_bucket(), params.program_bucket(need));
+        self.calls.refill(calls, now);
+        self.programs.refill(programs, now);
         let planned = self.programs.wait(need, programs);
-        let pressed = self.calls.level() < PRESSED_LEVEL * calls.most;
+        let pressed = self.calls.level() < PRESSED_LEVEL * calls.capacity;
         if request.is_first && by_program && pressed && planned > HOLD {
             self.refused += 1;
-            let step = programs.time_for(need);
+            let step = programs.fill_time(need);
             let retry_after = self.programs_back.line_up(planned, step, now);
             return QuotaReply::Refused { retry_after };
         }
@@ -211,7 +215,7 @@
             if !request.is_first {
                 self.need.note(false, now);
             }
-            let step = calls.time_for(1.0);
+            let step = calls.fill_time(1.0);
             let retry_after = self.calls_back.line_up(self.calls.wait(1.0, calls), step, now);
             return QuotaReply::Refused { retry_after };
         };
@@ -226,10 +230,10 @@
     pub fn release(&mut self, request: QuotaRequest, params: LimiterParams) {
         // First of all it was never there, or less is put back than was charged.
         self.need.forget(request.is_first);
-        self.calls.put_back(1.0, params.call_pace());
+        self.calls.refund(1.0, params.call_bucket());
         if request.is_first {
             let need = self.need.mean();
-            self.programs.put_back(need, params.program_pace(need));
+            self.programs.refund(need, params.program_bucket(need));
         }
     }
 
@@ -242,7 +246,7 @@
     /// Requests that may go on now; below zero where some wait.
     pub fn level(&self, params: LimiterParams, now: Instant) -> f64 {
         let mut calls = self.calls;
-        calls.fill(params.call_pace(), now);
+        calls.refill(params.call_bucket(), now);
         calls.level()
     }
 
--- a/src/core/quotas/mod.rs
+++ b/src/core/quotas/mod.rs
@@ -15,7 +15,7 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use bucket::{BucketPace, TokenBucket};
+pub use bucket::{BucketParams, TokenBucket};
 pub use limiter::{LimiterParams, LimiterRole, QuotaRequest, WorkspaceLimiter};
 pub use registry::{LimitSample, LimiterRegistry, LimiterRequest, QuotaRequestId};
 pub use share::QuotaShare;
--- a/src/core/quotas/share.rs
+++ b/src/core/quotas/share.rs
@@ -2,7 +2,7 @@
 
 use tokio::time::Instant;
 
-use super::bucket::{BucketPace, TokenBucket};
+use super::bucket::{BucketParams, TokenBucket};
 use super::{HOLD, QuotaBounds, QuotaLimit, QuotaReply};
 
 /// One instance's part of a workspace's limit.
@@ -30,12 +30,12 @@
         let rate = limit.rate * (1.0 + bounds.over) * part;
         // A part below one request would hold none at all; that the whole is exceeded by the rounding
         // is what speaks against this way.
-        let most = ((limit.burst * (1.0 + bounds.over) + bounds.slack) * part).max(1.0);
-        let pace = BucketPace { rate, most };
-        self.bucket.fill(pace, now);
-        match self.bucket.take(1.0, pace, HOLD) {
+        let capacity = ((limit.burst * (1.0 + bounds.over) + bounds.slack) * part).max(1.0);
+        let params = BucketParams { rate, capacity };
+        self.bucket.refill(params, now);
+        match self.bucket.take(1.0, params, HOLD) {
             Some(after) => QuotaReply::Granted { after },
-            None => QuotaReply::Refused { retry_after: self.bucket.wait(1.0, pace) },
+            None => QuotaReply::Refused { retry_after: self.bucket.wait(1.0, params) },
         }
     }
 }
--- a/tests/quota_limits.rs
+++ b/tests/quota_limits.rs
@@ -4,7 +4,7 @@
 
 use merlinsaddle::core::ids::WorkspaceId;
 use merlinsaddle::core::quotas::{
-    BucketPace, LimiterParams, LimiterRegistry, LimiterRequest, LimiterRole, LimiterStanding,
+    BucketParams, LimiterParams, LimiterRegistry, LimiterRequest, LimiterRole, LimiterStanding,
     QuotaBounds, QuotaLimit, QuotaMember, QuotaReply, QuotaRequest, QuotaShare, QuotaView,
     TokenBucket, WorkspaceLimiter,
 };
@@ -28,16 +28,16 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_bucket_fills_at_its_rate_and_no_further() {
-    let pace = BucketPace { rate: 10.0, most: 5.0 };
+    let params = BucketParams { rate: 10.0, capacity: 5.0 };
     let mut bucket = TokenBucket::new(0.0, Instant::now());
-    assert_eq!(bucket.take(1.0, pace, Duration::ZERO), None);
-    assert_eq!(bucket.wait(1.0, pace), Duration::from_millis(100));
+    assert_eq!(bucket.take(1.0, params, Duration::ZERO), None);
+    assert_eq!(bucket.wait(1.0, params), Duration::from_millis(100));
     advance(Duration::from_secs(60)).await;
-    bucket.fill(pace, Instant::now());
+    bucket.refill(params, Instant::now());
     assert_eq!(bucket.level(), 5.0);
     // A lower limit cuts what is there; a higher one fills nothing up.
-    bucket.fill(BucketPace { rate: 10.0, most: 2.0 }, Instant::now());
-    bucket.fill(BucketPace { rate: 10.0, most: 9.0 }, Instant::now());
+    bucket.refill(BucketParams { rate: 10.0, capacity: 2.0 }, Instant::now());
+    bucket.refill(BucketParams { rate: 10.0, capacity: 9.0 }, Instant::now());
     assert_eq!(bucket.level(), 2.0);
 }
 
