--- a/src/core/quotas/limiter.rs
+++ b/src/core/quotas/limiter.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use super::bucket::{BucketParams, TokenBucket};
-use super::{HOLD, QuotaBounds, QuotaLimit, QuotaReply};
+use super::{MAX_PERMIT_DELAY, QuotaBounds, QuotaLimit, QuotaReply};
 
 /// Part of the margin that a limiter itself uses: two fifths. As much is for its deputy, and a fifth for
 /// chance while members that have started find out who goes before whom: with all of it shared out, a
@@ -81,7 +81,7 @@
             }
             LimiterRole::Observer => BucketParams { rate: 0.0, capacity: 0.0 },
             LimiterRole::Standby => {
-                let capacity = STANDBY_TOLERANCE_SHARE * self.bounds.margin(self.quota);
+                let capacity = STANDBY_TOLERANCE_SHARE * self.bounds.tolerance(self.quota);
                 BucketParams {
                     rate: capacity / self.bounds.window.as_secs_f64().max(1.0),
                     capacity,
@@ -202,13 +202,13 @@
         self.programs.refill(programs, now);
         let planned = self.programs.wait(need, programs);
         let pressed = self.calls.level() < PRESSED_LEVEL * calls.capacity;
-        if request.is_first && by_program && pressed && planned > HOLD {
+        if request.is_first && by_program && pressed && planned > MAX_PERMIT_DELAY {
             self.refused += 1;
             let step = programs.fill_time(need);
             let retry_after = self.programs_back.line_up(planned, step, now);
             return QuotaReply::Refused { retry_after };
         }
-        let Some(after) = self.calls.take(1.0, calls, HOLD) else {
+        let Some(after) = self.calls.take(1.0, calls, MAX_PERMIT_DELAY) else {
             self.refused += 1;
             // It was needed all the same: counted by what is let in alone, programs seem to need the
             // less the more of their calls are refused, and ever more of them are begun.
--- a/src/core/quotas/mod.rs
+++ b/src/core/quotas/mod.rs
@@ -24,7 +24,7 @@
 /// How long a request may wait for its place. A call that is refused twice or three times ends its
 /// program, so it waits while it is not yet late for that. What waits runs whoever takes over meanwhile:
 /// with 500 ms, a freeze of 0.6 s alone made a modelled window 1% too full.
-const HOLD: Duration = Duration::from_millis(250);
+const MAX_PERMIT_DELAY: Duration = Duration::from_millis(250);
 
 /// The limit of one workspace.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -48,7 +48,7 @@
 
 impl QuotaBounds {
     /// Requests that a workspace may have run in any window beyond its limit.
-    pub fn margin(&self, limit: QuotaLimit) -> f64 {
+    pub fn tolerance(&self, limit: QuotaLimit) -> f64 {
         self.over * self.limit(limit) + self.slack
     }
 
--- a/src/core/quotas/share.rs
+++ b/src/core/quotas/share.rs
@@ -3,7 +3,7 @@
 use tokio::time::Instant;
 
 use super::bucket::{BucketParams, TokenBucket};
-use super::{HOLD, QuotaBounds, QuotaLimit, QuotaReply};
+use super::{MAX_PERMIT_DELAY, QuotaBounds, QuotaLimit, QuotaReply};
 
 /// One instance's part of a workspace's limit.
 #[derive(Debug, Clone)]
@@ -33,7 +33,7 @@
         let capacity = ((limit.burst * (1.0 + bounds.over) + bounds.slack) * part).max(1.0);
         let params = BucketParams { rate, capacity };
         self.bucket.refill(params, now);
-        match self.bucket.take(1.0, params, HOLD) {
+        match self.bucket.take(1.0, params, MAX_PERMIT_DELAY) {
             Some(after) => QuotaReply::Granted { after },
             None => QuotaReply::Refused { retry_after: self.bucket.wait(1.0, params) },
         }
--- a/tests/quota_limits.rs
+++ b/tests/quota_limits.rs
@@ -355,7 +355,7 @@
             }
             advance(Duration::from_millis(10)).await;
         }
-        let bound = BOUNDS.limit(quota) + BOUNDS.margin(quota);
+        let bound = BOUNDS.limit(quota) + BOUNDS.tolerance(quota);
         assert!(f64::from(count) <= bound, "{count} of {bound} at {rate}");
         assert!(f64::from(count) >= BOUNDS.limit(quota), "{count} at {rate}");
     }
@@ -373,7 +373,7 @@
     let ask =
         |share: &mut QuotaShare| is_granted(share.decide(quota, BOUNDS, INSTANCES, Instant::now()));
     let granted = shares.iter_mut().map(|share| usize::from(ask(share))).sum::<usize>();
-    let bound = BOUNDS.limit(quota) + BOUNDS.margin(quota);
+    let bound = BOUNDS.limit(quota) + BOUNDS.tolerance(quota);
     assert!(granted as f64 > bound, "{granted} at once of {bound}");
 }
 
--- a/tests/quota_world/mod.rs
+++ b/tests/quota_world/mod.rs
@@ -376,7 +376,7 @@
                 end += 1;
             }
             let quota = self.binding(*from);
-            let bound = BOUNDS.limit(quota) + BOUNDS.margin(quota);
+            let bound = BOUNDS.limit(quota) + BOUNDS.tolerance(quota);
             worst = worst.max((end - start) as f64 - bound);
         }
         worst
