--- a/src/core/quotas/limiter.rs
+++ b/src/core/quotas/limiter.rs
@@ -15,29 +15,29 @@
 /// Part of the margin that a deputy holds at once, and gives out again in a window: two fifths together.
 const STANDBY_TOLERANCE_SHARE: f64 = 0.2;
 /// Requests of a program where none has been seen: three to seven turns with some two calls each.
-const NEED_PRIOR: f64 = 12.0;
+const PRIOR_PROGRAM_REQUESTS: f64 = 12.0;
 /// Most that a program is taken to need: calls that belong to no program count like those of one, and
 /// would make each the dearer. The longest have some 60 turns.
-const NEED_MOST: f64 = 60.0;
+const MAX_PROGRAM_REQUESTS: f64 = 60.0;
 /// Programs that the prior counts for.
-const NEED_WEIGHT: f64 = 4.0;
+const PRIOR_PROGRAM_COUNT: f64 = 4.0;
 /// Time over which requests and programs are counted, fading: some programs of a workspace with one
 /// in two seconds.
-const NEED_FADE: Duration = Duration::from_secs(20);
+const PROGRAM_REQUESTS_DECAY: Duration = Duration::from_secs(20);
 /// Part of the rate that new programs may plan with. What is left takes up programs that need more
 /// than the mean: at all of it, programs under way were refused.
-const PLANNED_SHARE: f64 = 0.9;
+const PROGRAM_RATE_SHARE: f64 = 0.9;
 /// Part of the bucket below which new programs are held to their plan. Above it there is room, whatever
 /// they are expected to need: held to it always, a workspace a little below its limit was refused
 /// programs that all would have ended.
-const PRESSED_LEVEL: f64 = 0.85;
+const LOW_LEVEL_SHARE: f64 = 0.85;
 /// Programs that may begin at once however small the limit is: callers of a small workspace come in
 /// threes now and then.
-const PROGRAMS_AT_ONCE: f64 = 3.0;
+const MIN_PROGRAM_BURST: f64 = 3.0;
 /// Shortest and longest time after which a refused request is told to come back. Callers wait up to a
 /// third of their time, 1.7 s of the longest objective; what comes later than that is not waited for.
-const RETRY_LEAST: Duration = Duration::from_millis(100);
-const RETRY_MOST: Duration = Duration::from_millis(1_600);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_600);
 
 /// As what an instance limits a workspace.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -95,8 +95,8 @@
     fn program_bucket(&self, need: f64) -> BucketParams {
         let calls = self.call_bucket();
         BucketParams {
-            rate: calls.rate * PLANNED_SHARE,
-            capacity: calls.capacity.max(PROGRAMS_AT_ONCE * need),
+            rate: calls.rate * PROGRAM_RATE_SHARE,
+            capacity: calls.capacity.max(MIN_PROGRAM_BURST * need),
         }
     }
 }
@@ -124,7 +124,7 @@
 
     fn note(&mut self, is_first: bool, now: Instant) {
         let age = now.saturating_duration_since(self.at);
-        let kept = (-age.as_secs_f64() / NEED_FADE.as_secs_f64()).exp();
+        let kept = (-age.as_secs_f64() / PROGRAM_REQUESTS_DECAY.as_secs_f64()).exp();
         self.at = self.at.max(now);
         self.requests = self.requests * kept + 1.0;
         self.programs = self.programs * kept + f64::from(u8::from(is_first));
@@ -137,8 +137,8 @@
     }
 
     fn mean(&self) -> f64 {
-        let requests = self.requests + NEED_PRIOR * NEED_WEIGHT;
-        (requests / (self.programs + NEED_WEIGHT)).clamp(1.0, NEED_MOST)
+        let requests = self.requests + PRIOR_PROGRAM_REQUESTS * PRIOR_PROGRAM_COUNT;
+        (requests / (self.programs + PRIOR_PROGRAM_COUNT)).clamp(1.0, MAX_PROGRAM_REQUESTS)
     }
 }
 
@@ -153,10 +153,10 @@
     fn line_up(&mut self, wait: Duration, step: Duration, now: Instant) -> Duration {
         let at = self.next.max(now + wait);
         let retry = at.saturating_duration_since(now);
-        if retry < RETRY_MOST {
+        if retry < MAX_RETRY_DELAY {
             self.next = at + step;
         }
-        retry.clamp(RETRY_LEAST, RETRY_MOST)
+        retry.clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY)
     }
 }
 
@@ -201,7 +201,7 @@
         self.calls.refill(calls, now);
         self.programs.refill(programs, now);
         let planned = self.programs.wait(need, programs);
-        let pressed = self.calls.level() < PRESSED_LEVEL * calls.capacity;
+        let pressed = self.calls.level() < LOW_LEVEL_SHARE * calls.capacity;
         if request.is_first && by_program && pressed && planned > MAX_PERMIT_DELAY {
             self.refused += 1;
             let step = programs.fill_time(need);
