--- a/src/core/quotas/limiter.rs
+++ b/src/core/quotas/limiter.rs
@@ -92,11 +92,11 @@
 
     /// What new programs may need that have so many requests each: in a window as much as the limit
     /// holds there, and always some of them at once.
-    fn program_bucket(&self, need: f64) -> BucketParams {
+    fn program_bucket(&self, size: f64) -> BucketParams {
         let calls = self.call_bucket();
         BucketParams {
             rate: calls.rate * PROGRAM_RATE_SHARE,
-            capacity: calls.capacity.max(MIN_PROGRAM_BURST * need),
+            capacity: calls.capacity.max(MIN_PROGRAM_BURST * size),
         }
     }
 }
@@ -111,18 +111,18 @@
 
 /// How many requests a program has, learned from those that were let in.
 #[derive(Debug, Clone, Copy)]
-struct ProgramNeed {
+struct ProgramSize {
     requests: f64,
     programs: f64,
     at: Instant,
 }
 
-impl ProgramNeed {
+impl ProgramSize {
     fn new(now: Instant) -> Self {
         Self { requests: 0.0, programs: 0.0, at: now }
     }
 
-    fn note(&mut self, is_first: bool, now: Instant) {
+    fn observe(&mut self, is_first: bool, now: Instant) {
         let age = now.saturating_duration_since(self.at);
         let kept = (-age.as_secs_f64() / PROGRAM_REQUESTS_DECAY.as_secs_f64()).exp();
         self.at = self.at.max(now);
@@ -131,7 +131,7 @@
     }
 
     /// Takes back what was noted just now.
-    fn forget(&mut self, is_first: bool) {
+    fn retract(&mut self, is_first: bool) {
         self.requests = (self.requests - 1.0).max(0.0);
         self.programs = (self.programs - f64::from(u8::from(is_first))).max(0.0);
     }
@@ -145,12 +145,12 @@
 /// When the next refused request may come back: one after another, at the pace at which there is room,
 /// so that they do not return together and find the bucket empty again.
 #[derive(Debug, Clone, Copy)]
-struct ReturnQueue {
+struct RetryQueue {
     next: Instant,
 }
 
-impl ReturnQueue {
-    fn line_up(&mut self, wait: Duration, step: Duration, now: Instant) -> Duration {
+impl RetryQueue {
+    fn schedule(&mut self, wait: Duration, step: Duration, now: Instant) -> Duration {
         let at = self.next.max(now + wait);
         let retry = at.saturating_duration_since(now);
         if retry < MAX_RETRY_DELAY {
@@ -169,22 +169,22 @@
 pub struct WorkspaceLimiter {
     calls: TokenBucket,
     programs: TokenBucket,
-    need: ProgramNeed,
-    calls_back: ReturnQueue,
-    programs_back: ReturnQueue,
+    size: ProgramSize,
+    call_retries: RetryQueue,
+    program_retries: RetryQueue,
     refused: u64,
 }
 
 impl WorkspaceLimiter {
     /// A limiter that has been responsible since a moment, and whose workspace has asked nothing.
     pub fn new(since: Instant, params: LimiterParams, now: Instant) -> Self {
-        let need = ProgramNeed::new(now);
+        let size = ProgramSize::new(now);
         let mut calls = TokenBucket::new(0.0, since);
         calls.refill(params.call_bucket(), now);
         let mut programs = TokenBucket::new(0.0, since);
-        programs.refill(params.program_bucket(need.mean()), now);
-        let back = ReturnQueue { next: now };
-        Self { calls, programs, need, calls_back: back, programs_back: back, refused: 0 }
+        programs.refill(params.program_bucket(size.mean()), now);
+        let retries = RetryQueue { next: now };
+        Self { calls, programs, size, call_retries: retries, program_retries: retries, refused: 0 }
     }
 
     /// Decides about a request. `by_program` tells whether first requests are held to what their
@@ -196,16 +196,16 @@
         by_program: bool,
         now: Instant,
     ) -> QuotaReply {
-        let need = self.need.mean();
-        let (calls, programs) = (params.call_bucket(), params.program_bucket(need));
+        let size = self.size.mean();
+        let (calls, programs) = (params.call_bucket(), params.program_bucket(size));
         self.calls.refill(calls, now);
         self.programs.refill(programs, now);
-        let planned = self.programs.wait(need, programs);
-        let pressed = self.calls.level() < LOW_LEVEL_SHARE * calls.capacity;
-        if request.is_first && by_program && pressed && planned > MAX_PERMIT_DELAY {
+        let program_wait = self.programs.wait(size, programs);
+        let is_low = self.calls.level() < LOW_LEVEL_SHARE * calls.capacity;
+        if request.is_first && by_program && is_low && program_wait > MAX_PERMIT_DELAY {
             self.refused += 1;
-            let step = programs.fill_time(need);
-            let retry_after = self.programs_back.line_up(planned, step, now);
+            let step = programs.fill_time(size);
+            let retry_after = self.program_retries.schedule(program_wait, step, now);
             return QuotaReply::Refused { retry_after };
         }
         let Some(after) = self.calls.take(1.0, calls, MAX_PERMIT_DELAY) else {
@@ -213,27 +213,27 @@
             // It was needed all the same: counted by what is let in alone, programs seem to need the
             // less the more of their calls are refused, and ever more of them are begun.
             if !request.is_first {
-                self.need.note(false, now);
+                self.size.observe(false, now);
             }
             let step = calls.fill_time(1.0);
-            let retry_after = self.calls_back.line_up(self.calls.wait(1.0, calls), step, now);
+            let retry_after = self.call_retries.schedule(self.calls.wait(1.0, calls), step, now);
             return QuotaReply::Refused { retry_after };
         };
         if request.is_first {
-            self.programs.charge(need, programs);
+            self.programs.charge(size, programs);
         }
-        self.need.note(request.is_first, now);
+        self.size.observe(request.is_first, now);
         QuotaReply::Granted { after }
     }
 
     /// Takes back a place that was granted lately and not used.
     pub fn release(&mut self, request: QuotaRequest, params: LimiterParams) {
         // First of all it was never there, or less is put back than was charged.
-        self.need.forget(request.is_first);
+        self.size.retract(request.is_first);
         self.calls.refund(1.0, params.call_bucket());
         if request.is_first {
-            let need = self.need.mean();
-            self.programs.refund(need, params.program_bucket(need));
+            let size = self.size.mean();
+            self.programs.refund(size, params.program_bucket(size));
         }
     }
 
