--- a/src/bench/workspace_cores.rs
+++ b/src/bench/workspace_cores.rs
@@ -6,7 +6,7 @@
 use super::cores::{CoreSlope, measure_build, slope};
 use crate::core::ids::WorkspaceId;
 use crate::core::quotas::{
-    LimiterRegistry, LimiterRequest, LimiterStanding, QuotaBounds, QuotaLimit, QuotaMember,
+    LimiterRegistry, LimiterRequest, LimiterStatus, QuotaBounds, QuotaLimit, QuotaMember,
     QuotaRequest, QuotaView,
 };
 use crate::core::workspaces::{ApiKey, WorkspaceSpec, WorkspaceTable};
@@ -61,7 +61,7 @@
         instance: format!("instance-{number}").into(),
         incarnation: 1,
         address: format!("10.0.0.1:{number}").into(),
-        standing: LimiterStanding::Alive,
+        status: LimiterStatus::Alive,
     };
     let now = tokio::time::Instant::now();
     let view = QuotaView::new("instance-0".into(), (0..count).map(member).collect(), 0, now);
--- a/src/core/quotas/mod.rs
+++ b/src/core/quotas/mod.rs
@@ -19,7 +19,7 @@
 pub use limiter::{LimiterParams, LimiterRole, QuotaRequest, WorkspaceLimiter};
 pub use registry::{LimitSample, LimiterRegistry, LimiterRequest, QuotaRequestId};
 pub use share::QuotaShare;
-pub use view::{LimiterStanding, QuotaMember, QuotaView};
+pub use view::{LimiterStatus, QuotaMember, QuotaView};
 
 /// How long a request may wait for its place. A call that is refused twice or three times ends its
 /// program, so it waits while it is not yet late for that. What waits runs whoever takes over meanwhile:
--- a/src/core/quotas/view.rs
+++ b/src/core/quotas/view.rs
@@ -10,7 +10,7 @@
 
 /// How a member stands as a limiter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LimiterStanding {
+pub enum LimiterStatus {
     Alive,
     /// It may still answer.
     Suspect,
@@ -26,7 +26,7 @@
     pub incarnation: Incarnation,
     /// Where its datagrams go.
     pub address: Box<str>,
-    pub standing: LimiterStanding,
+    pub status: LimiterStatus,
 }
 
 /// A member that was alive and then was not.
@@ -93,7 +93,7 @@
     }
 
     fn alive_members(&self) -> impl Iterator<Item = &QuotaMember> {
-        self.members.iter().filter(|member| member.standing == LimiterStanding::Alive)
+        self.members.iter().filter(|member| member.status == LimiterStatus::Alive)
     }
 
     fn alive(&self) -> impl Iterator<Item = &InstanceId> {
@@ -129,7 +129,7 @@
     /// Whom to ask about a workspace: its limiter, and who answers if that one does not.
     pub fn asked(&self, workspace: &str) -> [Option<&QuotaMember>; 2] {
         let mut best: [Option<(u64, &QuotaMember)>; 2] = [None, None];
-        for member in self.members.iter().filter(|m| m.standing != LimiterStanding::Gone) {
+        for member in self.members.iter().filter(|m| m.status != LimiterStatus::Gone) {
             let candidate = Some((weight(workspace, &member.instance), member));
             let above = |other: &Option<(u64, &QuotaMember)>| {
                 other.is_none_or(|(other, _)| candidate.is_some_and(|(own, _)| own > other))
--- a/src/gateway/members/roles.rs
+++ b/src/gateway/members/roles.rs
@@ -4,7 +4,7 @@
 
 use super::{MemberView, is_offered};
 use crate::core::members::{GroupRole, MemberInfo, MemberState, group_role, tree_role};
-use crate::core::quotas::{LimiterStanding, QuotaMember};
+use crate::core::quotas::{LimiterStatus, QuotaMember};
 use crate::gateway::news::NewsReaders;
 use crate::gateway::quotas::QuotaPeers;
 use crate::gateway::store::RelayPeers;
@@ -25,10 +25,10 @@
     }
 
     fn quota_members(&self) -> Vec<QuotaMember> {
-        let standing = |state| match state {
-            MemberState::Alive => Some(LimiterStanding::Alive),
-            MemberState::Suspect => Some(LimiterStanding::Suspect),
-            MemberState::Dead => Some(LimiterStanding::Gone),
+        let status = |state| match state {
+            MemberState::Alive => Some(LimiterStatus::Alive),
+            MemberState::Suspect => Some(LimiterStatus::Suspect),
+            MemberState::Dead => Some(LimiterStatus::Gone),
             MemberState::Leaving | MemberState::LeavingSuspect => None,
         };
         let table = self.table.borrow();
@@ -37,7 +37,7 @@
                 instance: info.instance.clone(),
                 incarnation: info.incarnation,
                 address: info.gossip_address.clone(),
-                standing: standing(info.state)?,
+                status: status(info.state)?,
             })
         };
         table.iter().filter_map(member).collect()
--- a/src/gateway/quotas/asker_tests.rs
+++ b/src/gateway/quotas/asker_tests.rs
@@ -9,7 +9,7 @@
 use super::LimiterQuota;
 use crate::core::ids::WorkspaceId;
 use crate::core::quotas::{
-    LimiterStanding, QuotaBounds, QuotaLimit, QuotaMember, QuotaReply, QuotaRequest,
+    LimiterStatus, QuotaBounds, QuotaLimit, QuotaMember, QuotaReply, QuotaRequest,
 };
 use crate::gateway::members::QuotaListener;
 use crate::gateway::quotas::{
@@ -67,8 +67,8 @@
 }
 
 fn member(name: &str) -> QuotaMember {
-    let standing = LimiterStanding::Alive;
-    QuotaMember { instance: name.into(), incarnation: 1, address: name.into(), standing }
+    let status = LimiterStatus::Alive;
+    QuotaMember { instance: name.into(), incarnation: 1, address: name.into(), status }
 }
 
 /// An instance `me` among others.
--- a/src/gateway/quotas/size.rs
+++ b/src/gateway/quotas/size.rs
@@ -12,7 +12,7 @@
 
 use super::QuotaPeers;
 use crate::core::ids::InstanceId;
-use crate::core::quotas::{LimiterStanding, QuotaMember};
+use crate::core::quotas::{LimiterStatus, QuotaMember};
 use crate::gateway::rows::{CommitReply, RowKey, RowRange, RowTransaction, RowVersion};
 use crate::gateway::store::StoreLink;
 use crate::node::platform::StoreError;
@@ -126,7 +126,7 @@
 }
 
 fn alive(members: &[QuotaMember]) -> impl Iterator<Item = &QuotaMember> {
-    members.iter().filter(|member| member.standing == LimiterStanding::Alive)
+    members.iter().filter(|member| member.status == LimiterStatus::Alive)
 }
 
 fn row_key() -> RowKey {
--- a/tests/quota_bound.rs
+++ b/tests/quota_bound.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use merlinsaddle::core::quotas::{LimiterRole, LimiterStanding, QuotaMember, QuotaView};
+use merlinsaddle::core::quotas::{LimiterRole, LimiterStatus, QuotaMember, QuotaView};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use quota_world::{Fault, GIVE_BACK, LENGTH, LOST, Plan, World, name, plan};
@@ -126,7 +126,7 @@
         instance: name(0),
         incarnation: 1,
         address: name(0),
-        standing: LimiterStanding::Alive,
+        status: LimiterStatus::Alive,
     }];
     let view = QuotaView::new(name(0), me, 8, Instant::now());
     assert_eq!(view.role("acme", Instant::now()), LimiterRole::Primary { share: 0.0625 });
--- a/tests/quota_limits.rs
+++ b/tests/quota_limits.rs
@@ -4,7 +4,7 @@
 
 use merlinsaddle::core::ids::WorkspaceId;
 use merlinsaddle::core::quotas::{
-    BucketParams, LimiterParams, LimiterRegistry, LimiterRequest, LimiterRole, LimiterStanding,
+    BucketParams, LimiterParams, LimiterRegistry, LimiterRequest, LimiterRole, LimiterStatus,
     QuotaBounds, QuotaLimit, QuotaMember, QuotaReply, QuotaRequest, QuotaShare, QuotaView,
     TokenBucket, WorkspaceLimiter,
 };
@@ -153,18 +153,18 @@
     }
 }
 
-fn members(standings: &[LimiterStanding]) -> Vec<QuotaMember> {
-    let member = |(number, standing): (usize, &LimiterStanding)| QuotaMember {
+fn members(statuses: &[LimiterStatus]) -> Vec<QuotaMember> {
+    let member = |(number, status): (usize, &LimiterStatus)| QuotaMember {
         instance: format!("i{number}").into(),
         incarnation: 1,
         address: format!("10.0.0.{number}:1").into(),
-        standing: *standing,
+        status: *status,
     };
-    standings.iter().enumerate().map(member).collect()
+    statuses.iter().enumerate().map(member).collect()
 }
 
-fn view_of(me: usize, standings: &[LimiterStanding], least: usize) -> QuotaView {
-    QuotaView::new(format!("i{me}").into(), members(standings), least, Instant::now())
+fn view_of(me: usize, statuses: &[LimiterStatus], least: usize) -> QuotaView {
+    QuotaView::new(format!("i{me}").into(), members(statuses), least, Instant::now())
 }
 
 /// When an instance that has started now counts what it knows in full.
@@ -176,7 +176,7 @@
 /// to the whole.
 #[tokio::test(start_paused = true)]
 async fn the_parts_of_all_limiters_add_up_to_one() {
-    use LimiterStanding::{Alive, Gone};
+    use LimiterStatus::{Alive, Gone};
     let share = |view: &QuotaView| match view.role("acme", settled()) {
         LimiterRole::Primary { share } => share,
         LimiterRole::Standby | LimiterRole::Observer => 0.0,
@@ -197,7 +197,7 @@
 /// nothing as a deputy, as many may be taken for one.
 #[tokio::test(start_paused = true)]
 async fn who_has_just_started_gives_out_less() {
-    use LimiterStanding::Alive;
+    use LimiterStatus::Alive;
     let role = |view: &QuotaView, after: u64| {
         view.role("acme", Instant::now() + Duration::from_secs(after))
     };
@@ -216,29 +216,29 @@
 
 #[tokio::test(start_paused = true)]
 async fn who_is_asked_first_limits() {
-    use LimiterStanding::{Alive, Gone, Suspect};
+    use LimiterStatus::{Alive, Gone, Suspect};
     for workspace in ["a", "b", "c", "d", "e", "f"] {
         let view = view_of(0, &[Alive; 5], 0);
         let [first, second] = view.asked(workspace).map(|member| member.expect("five").clone());
         assert_ne!(first.instance, second.instance);
-        let of = |member: &QuotaMember, standings: &[LimiterStanding]| {
+        let of = |member: &QuotaMember, statuses: &[LimiterStatus]| {
             let number = member.instance[1..].parse().expect("a number");
-            view_of(number, standings, 0).role(workspace, settled())
+            view_of(number, statuses, 0).role(workspace, settled())
         };
         assert_eq!(of(&first, &[Alive; 5]), PRIMARY);
         assert_eq!(of(&second, &[Alive; 5]), LimiterRole::Standby);
         // Once it is suspected, the second one takes over; it may still be asked.
         let number: usize = first.instance[1..].parse().expect("a number");
-        let mut standings = [Alive; 5];
-        standings[number] = Suspect;
-        assert_eq!(of(&second, &standings), LimiterRole::Primary { share: 0.8 });
+        let mut statuses = [Alive; 5];
+        statuses[number] = Suspect;
+        assert_eq!(of(&second, &statuses), LimiterRole::Primary { share: 0.8 });
         let me = (number + 1) % 5;
         assert_eq!(
-            view_of(me, &standings, 0).asked(workspace)[0],
-            Some(&members(&standings)[number])
+            view_of(me, &statuses, 0).asked(workspace)[0],
+            Some(&members(&statuses)[number])
         );
-        standings[number] = Gone;
-        let next = view_of(me, &standings, 0);
+        statuses[number] = Gone;
+        let next = view_of(me, &statuses, 0);
         assert_eq!(next.asked(workspace)[0].map(|m| &m.instance), Some(&second.instance));
     }
 }
@@ -250,7 +250,7 @@
 /// An answer is lost and the question comes again: it is counted once.
 #[tokio::test(start_paused = true)]
 async fn a_repeated_question_is_counted_once() {
-    let view = view_of(0, &[LimiterStanding::Alive], 0);
+    let view = view_of(0, &[LimiterStatus::Alive], 0);
     let quota = QuotaLimit { rate: 1.0, burst: 2.0 };
     let workspace = "acme".into();
     advance(Duration::from_secs(10)).await;
@@ -270,7 +270,7 @@
 /// one gave out the limit meanwhile: two bursts in a window are more than the limit allows.
 #[tokio::test(start_paused = true)]
 async fn a_limiter_that_takes_over_again_begins_empty() {
-    use LimiterStanding::{Alive, Gone};
+    use LimiterStatus::{Alive, Gone};
     let workspace: Box<str> = "acme".into();
     let first = view_of(0, &[Alive; 2], 0).asked(&workspace)[0].expect("two").instance.clone();
     let other: usize = first[1..].parse().expect("a number");
@@ -298,12 +298,7 @@
     let third = |number: usize| {
         let mut three = members(&without);
         let instance = format!("other-{number}").into();
-        three.push(QuotaMember {
-            instance,
-            incarnation: 1,
-            address: "z:1".into(),
-            standing: Alive,
-        });
+        three.push(QuotaMember { instance, incarnation: 1, address: "z:1".into(), status: Alive });
         three
     };
     let goes_before = |three: &[QuotaMember]| {
@@ -312,7 +307,7 @@
     };
     let mut three = (0..).map(third).find(|three| !goes_before(three)).expect("one of them");
     view.update(three.clone(), 0, Instant::now());
-    three[2].standing = Gone;
+    three[2].status = Gone;
     view.update(three, 0, Instant::now());
     registry.decide(request(3, &workspace, quota), &view, Instant::now());
     assert!(level(&registry).expect("it limits") > 30.0, "{:?}", level(&registry));
@@ -321,7 +316,7 @@
 /// A process that was paused is asked the moment it wakes: it gives out nothing that filled meanwhile.
 #[tokio::test(start_paused = true)]
 async fn a_limiter_begins_empty_after_a_pause() {
-    let view = view_of(0, &[LimiterStanding::Alive], 0);
+    let view = view_of(0, &[LimiterStatus::Alive], 0);
     let workspace: Box<str> = "acme".into();
     let quota = QuotaLimit { rate: 10.0, burst: 100.0 };
     let mut registry = LimiterRegistry::new(STRICT, true, Instant::now());
--- a/tests/quota_world/mod.rs
+++ b/tests/quota_world/mod.rs
@@ -5,7 +5,7 @@
 
 use merlinsaddle::core::ids::WorkspaceId;
 use merlinsaddle::core::quotas::{
-    LimiterRegistry, LimiterRequest, LimiterStanding, QuotaBounds, QuotaLimit, QuotaMember,
+    LimiterRegistry, LimiterRequest, LimiterStatus, QuotaBounds, QuotaLimit, QuotaMember,
     QuotaReply, QuotaRequest, QuotaView,
 };
 use proptest::prelude::*;
@@ -83,7 +83,7 @@
 /// What one member thinks of another, and what it will think next.
 #[derive(Debug, Clone, Copy)]
 struct Belief {
-    standing: Option<LimiterStanding>,
+    status: Option<LimiterStatus>,
     incarnation: u64,
     reachable: bool,
     next: Instant,
@@ -134,7 +134,7 @@
             registry: LimiterRegistry::new(BOUNDS, true, now),
             beliefs: vec![
                 Belief {
-                    standing: Some(LimiterStanding::Alive),
+                    status: Some(LimiterStatus::Alive),
                     incarnation: 1,
                     reachable: true,
                     next: now
@@ -220,9 +220,9 @@
             self.members[me].registry = LimiterRegistry::new(BOUNDS, true, now);
             for other in 0..self.members.len() {
                 let learned = now + self.delay(0.05, 1.5);
-                let standing = (other == me).then_some(LimiterStanding::Alive);
+                let status = (other == me).then_some(LimiterStatus::Alive);
                 self.members[me].beliefs[other] =
-                    Belief { standing, incarnation: 0, reachable: true, next: learned };
+                    Belief { status, incarnation: 0, reachable: true, next: learned };
             }
             let count = self.members.len();
             self.members[me].view = QuotaView::new(name(me), Vec::new(), count, now);
@@ -239,7 +239,7 @@
 
     /// Follows who can be reached, late.
     fn believe(&mut self, me: usize) {
-        use LimiterStanding::{Alive, Gone, Suspect};
+        use LimiterStatus::{Alive, Gone, Suspect};
         for other in (0..self.members.len()).filter(|other| *other != me) {
             let reachable = self.reaches(me, other);
             let before = self.members[me].beliefs[other];
@@ -252,7 +252,7 @@
                 continue;
             }
             let next = self.now + Duration::from_secs(1);
-            let standing = match (reachable, before.standing) {
+            let status = match (reachable, before.status) {
                 (true, _) => Some(Alive),
                 (false, Some(Alive)) => Some(Suspect),
                 (false, Some(Suspect | Gone)) => Some(Gone),
@@ -262,17 +262,17 @@
                 true => self.members[other].incarnation,
                 false => before.incarnation,
             };
-            let back = standing == Some(Alive) && matches!(before.standing, Some(Suspect | Gone));
+            let back = status == Some(Alive) && matches!(before.status, Some(Suspect | Gone));
             if back && incarnation == before.incarnation {
                 // It hears that it was taken for failed, refutes that, and forgets what it gave out.
                 self.members[other].doubted = true;
             }
-            self.members[me].beliefs[other] = Belief { standing, incarnation, reachable, next };
+            self.members[me].beliefs[other] = Belief { status, incarnation, reachable, next };
         }
         let known = self.members[me].beliefs.iter().enumerate().filter_map(|(other, belief)| {
             let (instance, address) = (name(other), name(other));
             let incarnation = belief.incarnation;
-            Some(QuotaMember { instance, incarnation, address, standing: belief.standing? })
+            Some(QuotaMember { instance, incarnation, address, status: belief.status? })
         });
         let known = known.collect();
         let (count, now) = (self.members.len(), self.now);
