--- a/src/bench/workspace_cores.rs
+++ b/src/bench/workspace_cores.rs
@@ -71,7 +71,7 @@
     let started = Instant::now();
     for id in 0..OPERATIONS {
         let workspace = &names[id % names.len()];
-        black_box(view.asked(workspace));
+        black_box(view.candidates(workspace));
         let ask = QuotaRequest { is_first: id % 12 == 0 };
         let question = LimiterRequest { id: id as u64, workspace, quota_request: ask, quota };
         black_box(registry.decide(question, &view, now));
--- a/src/core/quotas/view.rs
+++ b/src/core/quotas/view.rs
@@ -114,7 +114,7 @@
     }
 
     /// The member that limits a workspace, as far as this instance knows.
-    pub fn chief(&self, workspace: &str) -> Option<&QuotaMember> {
+    pub fn limiter(&self, workspace: &str) -> Option<&QuotaMember> {
         self.alive_members().max_by_key(|member| weight(workspace, &member.instance))
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// Whom to ask about a workspace: its limiter, and who answers if that one does not.
-    pub fn asked(&self, workspace: &str) -> [Option<&QuotaMember>; 2] {
+    pub fn candidates(&self, workspace: &str) -> [Option<&QuotaMember>; 2] {
         let mut best: [Option<(u64, &QuotaMember)>; 2] = [None, None];
         for member in self.members.iter().filter(|m| m.status != LimiterStatus::Gone) {
             let candidate = Some((weight(workspace, &member.instance), member));
@@ -145,8 +145,8 @@
 
     /// As what this instance limits a workspace.
     pub fn role(&self, workspace: &str, now: Instant) -> LimiterRole {
-        let chief = self.chief(workspace).is_some_and(|chief| self.is_me(chief));
-        match (chief, self.is_learning(now)) {
+        let is_primary = self.limiter(workspace).is_some_and(|limiter| self.is_me(limiter));
+        match (is_primary, self.is_learning(now)) {
             (true, false) => LimiterRole::Primary { share: self.share(now) },
             (true, true) => LimiterRole::Primary { share: self.share(now) / 2.0 },
             (false, false) => LimiterRole::Standby,
--- a/src/gateway/quotas/asker.rs
+++ b/src/gateway/quotas/asker.rs
@@ -126,7 +126,7 @@
     }
 
     fn chief_address(&self, workspace: &str) -> Option<Box<str>> {
-        self.with_view(|view| view.chief(workspace).map(|chief| chief.address.clone()))
+        self.with_view(|view| view.limiter(workspace).map(|limiter| limiter.address.clone()))
     }
 
     /// Begins anew after a pause, or when others took this instance for failed: they have asked
@@ -196,7 +196,7 @@
     fn targets(&self, workspace: &str, round: usize) -> (Vec<Box<str>>, bool) {
         self.with_view(|view| {
             let silent = self.silent.borrow();
-            let [first, second] = view.asked(workspace);
+            let [first, second] = view.candidates(workspace);
             let passed = first.is_some_and(|first| silent.contains(&first.address));
             let second = second.filter(|_| round >= ALONE || passed);
             let asked: Vec<_> = first.into_iter().chain(second).collect();
--- a/src/gateway/quotas/asker_tests.rs
+++ b/src/gateway/quotas/asker_tests.rs
@@ -90,7 +90,7 @@
     for number in 0.. {
         let workspace: WorkspaceId = format!("w{number}").into();
         let asked = limiter.with_view(|view| {
-            view.asked(&workspace).map(|member| member.expect("three").address.to_string())
+            view.candidates(&workspace).map(|member| member.expect("three").address.to_string())
         });
         if asked.iter().all(|address| *address != "me") {
             let [first, second] = asked;
--- a/tests/quota_limits.rs
+++ b/tests/quota_limits.rs
@@ -219,7 +219,8 @@
     use LimiterStatus::{Alive, Gone, Suspect};
     for workspace in ["a", "b", "c", "d", "e", "f"] {
         let view = view_of(0, &[Alive; 5], 0);
-        let [first, second] = view.asked(workspace).map(|member| member.expect("five").clone());
+        let [first, second] =
+            view.candidates(workspace).map(|member| member.expect("five").clone());
         assert_ne!(first.instance, second.instance);
         let of = |member: &QuotaMember, statuses: &[LimiterStatus]| {
             let number = member.instance[1..].parse().expect("a number");
@@ -234,12 +235,12 @@
         assert_eq!(of(&second, &statuses), LimiterRole::Primary { share: 0.8 });
         let me = (number + 1) % 5;
         assert_eq!(
-            view_of(me, &statuses, 0).asked(workspace)[0],
+            view_of(me, &statuses, 0).candidates(workspace)[0],
             Some(&members(&statuses)[number])
         );
         statuses[number] = Gone;
         let next = view_of(me, &statuses, 0);
-        assert_eq!(next.asked(workspace)[0].map(|m| &m.instance), Some(&second.instance));
+        assert_eq!(next.candidates(workspace)[0].map(|m| &m.instance), Some(&second.instance));
     }
 }
 
@@ -272,7 +273,7 @@
 async fn a_limiter_that_takes_over_again_begins_empty() {
     use LimiterStatus::{Alive, Gone};
     let workspace: Box<str> = "acme".into();
-    let first = view_of(0, &[Alive; 2], 0).asked(&workspace)[0].expect("two").instance.clone();
+    let first = view_of(0, &[Alive; 2], 0).candidates(&workspace)[0].expect("two").instance.clone();
     let other: usize = first[1..].parse().expect("a number");
     let me = 1 - other;
     let mut without = [Alive; 2];
--- a/tests/quota_world/mod.rs
+++ b/tests/quota_world/mod.rs
@@ -288,7 +288,7 @@
         self.asked += 1;
         let id = self.next_id;
         let ask = QuotaRequest { is_first: self.rng.random_bool(0.08) };
-        let asked = self.members[me].view.asked(workspace).map(|member| {
+        let asked = self.members[me].view.candidates(workspace).map(|member| {
             member.map(|member| member.instance[1..].parse::<usize>().expect("a number"))
         });
         for target in asked.into_iter().flatten() {
