--- a/src/core/quotas/view.rs
+++ b/src/core/quotas/view.rs
@@ -34,9 +34,9 @@
 struct LostMember {
     instance: InstanceId,
     incarnation: Incarnation,
-    lost: Instant,
+    lost_at: Instant,
     /// When the same run of it was alive again.
-    back: Option<Instant>,
+    returned_at: Option<Instant>,
 }
 
 /// The members at a moment.
@@ -45,51 +45,56 @@
     me: InstanceId,
     members: Vec<QuotaMember>,
     /// Members there are, as far as is known, those that are gone included.
-    known: usize,
+    known_count: usize,
     /// When others came to be alive, or no longer were.
     changed: Instant,
     /// Where one of them would limit a workspace, this instance has taken it over when it was lost.
     lost: Vec<LostMember>,
     /// When this instance began to look.
-    begun: Instant,
+    started: Instant,
 }
 
 /// How long it is known who was lost. Whatever was taken over then has filled up since.
-const LOST_MEMORY: Duration = Duration::from_secs(60);
+const LOST_MEMBER_RETENTION: Duration = Duration::from_secs(60);
 /// How long an instance that has started counts as learning while it knows fewer members than there are:
 /// news of all of them takes about a second. Where all start at once, some take themselves for the
 /// limiter that do not know yet who goes before them, and many for its deputy; their parts add up to more
 /// than one at times.
-const LEARNING: Duration = Duration::from_secs(2);
+const DISCOVERY_DURATION: Duration = Duration::from_secs(2);
 /// How long a member that is back does not count yet. Where a cut has healed, the limiters on both
 /// sides learn of it within a second or so of each other; if each took its part for the whole at
 /// once, both would give out the whole limit until then.
-const RETURNING: Duration = Duration::from_secs(2);
+const REJOIN_DURATION: Duration = Duration::from_secs(2);
 
 impl QuotaView {
     /// `least` is how many members there are at least, by what was kept of an earlier time: where all
     /// instances start at once, each knows itself first, and would take itself for all there are.
-    pub fn new(me: InstanceId, members: Vec<QuotaMember>, least: usize, now: Instant) -> Self {
-        let known = members.len().max(least);
-        Self { me, members, known, changed: now, lost: Vec::new(), begun: now }
+    pub fn new(
+        me: InstanceId,
+        members: Vec<QuotaMember>,
+        min_members: usize,
+        now: Instant,
+    ) -> Self {
+        let known_count = members.len().max(min_members);
+        Self { me, members, known_count, changed: now, lost: Vec::new(), started: now }
     }
 
     /// Takes newer members; what is limited here and stays here goes on.
-    pub fn update(&mut self, members: Vec<QuotaMember>, least: usize, now: Instant) {
-        let newer = Self::new(self.me.clone(), members, least, now);
+    pub fn update(&mut self, members: Vec<QuotaMember>, min_members: usize, now: Instant) {
+        let newer = Self::new(self.me.clone(), members, min_members, now);
         if self.alive().eq(newer.alive()) {
-            (self.members, self.known) = (newer.members, newer.known);
+            (self.members, self.known_count) = (newer.members, newer.known_count);
             return;
         }
         let gone = self.alive_members().filter(|old| !newer.alive().any(|id| *id == old.instance));
         let gone: Vec<_> = gone.map(|old| LostMember::new(old, now)).collect();
         let mut lost = std::mem::take(&mut self.lost);
-        lost.retain(|member| now.saturating_duration_since(member.lost) < LOST_MEMORY);
+        lost.retain(|member| now.saturating_duration_since(member.lost_at) < LOST_MEMBER_RETENTION);
         lost.extend(gone);
         for member in &mut lost {
-            member.notice_return(&newer, now);
+            member.update_returned(&newer, now);
         }
-        *self = Self { lost, begun: self.begun, ..newer };
+        *self = Self { lost, started: self.started, ..newer };
     }
 
     fn alive_members(&self) -> impl Iterator<Item = &QuotaMember> {
@@ -110,7 +115,7 @@
     pub fn taken_over(&self, workspace: &str) -> Option<Instant> {
         let own = weight(workspace, &self.me);
         let before = self.lost.iter().filter(|other| weight(workspace, &other.instance) > own);
-        before.map(|other| other.lost).max()
+        before.map(|other| other.lost_at).max()
     }
 
     /// The member that limits a workspace, as far as this instance knows.
@@ -146,7 +151,7 @@
     /// As what this instance limits a workspace.
     pub fn role(&self, workspace: &str, now: Instant) -> LimiterRole {
         let is_primary = self.limiter(workspace).is_some_and(|limiter| self.is_me(limiter));
-        match (is_primary, self.is_learning(now)) {
+        match (is_primary, self.is_discovering(now)) {
             (true, false) => LimiterRole::Primary { share: self.share(now) },
             (true, true) => LimiterRole::Primary { share: self.share(now) / 2.0 },
             (false, false) => LimiterRole::Standby,
@@ -154,35 +159,35 @@
         }
     }
 
-    fn is_learning(&self, now: Instant) -> bool {
-        let new = now.saturating_duration_since(self.begun) < LEARNING;
-        new && self.alive_count() < self.known
+    fn is_discovering(&self, now: Instant) -> bool {
+        let new = now.saturating_duration_since(self.started) < DISCOVERY_DURATION;
+        new && self.alive_count() < self.known_count
     }
 
     /// Part of the known members that are alive, those that are only just back left out.
     fn share(&self, now: Instant) -> f64 {
         let returning = self.lost.iter().filter(|member| member.is_returning(now)).count();
         let counted = self.alive_count().saturating_sub(returning).max(1);
-        counted as f64 / self.known.max(1) as f64
+        counted as f64 / self.known_count.max(1) as f64
     }
 }
 
 impl LostMember {
     fn new(member: &QuotaMember, now: Instant) -> Self {
         let (instance, incarnation) = (member.instance.clone(), member.incarnation);
-        Self { instance, incarnation, lost: now, back: None }
+        Self { instance, incarnation, lost_at: now, returned_at: None }
     }
 
-    fn notice_return(&mut self, view: &QuotaView, now: Instant) {
+    fn update_returned(&mut self, view: &QuotaView, now: Instant) {
         let same = |member: &QuotaMember| {
             member.instance == self.instance && member.incarnation == self.incarnation
         };
         let alive = view.alive_members().any(same);
-        self.back = alive.then(|| self.back.unwrap_or(now));
+        self.returned_at = alive.then(|| self.returned_at.unwrap_or(now));
     }
 
     fn is_returning(&self, now: Instant) -> bool {
-        self.back.is_some_and(|back| now.saturating_duration_since(back) < RETURNING)
+        self.returned_at.is_some_and(|at| now.saturating_duration_since(at) < REJOIN_DURATION)
     }
 }
 
