--- a/src/cmd/limits.rs
+++ b/src/cmd/limits.rs
@@ -44,7 +44,7 @@
             limit.burst.to_string(),
             format!("{:.1}", limit.level),
             limit.refused.to_string(),
-            if limit.chief { "chief" } else { "deputy" }.to_owned(),
+            if limit.is_primary { "chief" } else { "deputy" }.to_owned(),
         ]
     };
     let rows: Vec<_> = limits.iter().map(row).collect();
--- a/src/core/quotas/registry.rs
+++ b/src/core/quotas/registry.rs
@@ -35,7 +35,8 @@
     /// Requests refused here so far.
     pub refused: u64,
     /// Whether this instance limits the workspace for all.
-    pub chief: bool,
+    #[serde(rename = "chief")]
+    pub is_primary: bool,
 }
 
 /// One limiter and what it was last told.
@@ -120,9 +121,9 @@
     ) -> (QuotaReply, bool) {
         self.drop_transferred(view, now);
         let role = view.role(request.workspace, now);
-        let chief = role.is_primary();
+        let is_primary = role.is_primary();
         if let Some((_, reply)) = self.replies.get(&request.id) {
-            return (*reply, chief);
+            return (*reply, is_primary);
         }
         let by_program = self.by_program;
         let entry = self.limiter(&request, role, view, now);
@@ -133,7 +134,7 @@
             now,
         );
         self.replies.insert(request.id, (now, reply));
-        (reply, chief)
+        (reply, is_primary)
     }
 
     /// The limiter of a workspace, with the limit as the members stand.
@@ -193,11 +194,11 @@
             burst: entry.params.quota.burst,
             level: entry.limiter.level(entry.effective_params(now), now),
             refused: entry.limiter.refused(),
-            chief: entry.params.role.is_primary(),
+            is_primary: entry.params.role.is_primary(),
         };
         let entries = self.primaries.iter().chain(&self.standbys);
         let mut samples: Vec<_> = entries.map(sample).collect();
-        samples.sort_by(|a, b| (&a.workspace, b.chief).cmp(&(&b.workspace, a.chief)));
+        samples.sort_by(|a, b| (&a.workspace, b.is_primary).cmp(&(&b.workspace, a.is_primary)));
         samples
     }
 }
--- a/tests/gateway_quotas.rs
+++ b/tests/gateway_quotas.rs
@@ -32,7 +32,7 @@
         for (number, gateway) in deployment.gateways.iter().enumerate() {
             let samples = samples(gateway).await;
             let own = |sample: &LimitSample| {
-                *sample.workspace == *workspace && sample.chief && sample.level >= level
+                *sample.workspace == *workspace && sample.is_primary && sample.level >= level
             };
             if samples.iter().any(own) {
                 found.set(number);
--- a/tests/quota_world/mod.rs
+++ b/tests/quota_world/mod.rs
@@ -298,7 +298,7 @@
             let now = self.now;
             let Member { view, registry, quota, .. } = &mut self.members[target];
             let request = LimiterRequest { id, workspace, quota_request: ask, quota: *quota };
-            let (reply, chief) = registry.decide(request, view, now);
+            let (reply, is_primary) = registry.decide(request, view, now);
             if self.rng.random_bool(LOST) {
                 continue;
             }
@@ -311,7 +311,7 @@
                     self.runs.push(now + after);
                     return;
                 }
-                QuotaReply::Refused { .. } if chief => return,
+                QuotaReply::Refused { .. } if is_primary => return,
                 QuotaReply::Refused { .. } => {}
             }
         }
