--- a/src/core/members/groups.rs
+++ b/src/core/members/groups.rs
@@ -1,19 +1,16 @@
-//! Members of a zone that do something for the others.
+//! Assigns a job to leaders among the members of a zone, and the other members to these leaders.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Who does a work for one member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GroupRole<'a> {
-    /// It does the work itself, and for others.
     Leader,
-    /// This one does it.
+    /// Served by this leader.
     Follower(&'a str),
 }
 
-/// One of `span` members, those with the lowest hashes.
-///
-/// All that agree on the members name the same leaders without a word.
+/// Picks one of `group_size` members, by the lowest hashes. Members that agree on the list pick the
+/// same leaders without exchanging messages.
 pub fn leaders<'a>(
     job: &str,
     group_size: usize,
@@ -27,8 +24,7 @@
     ranked.into_iter().map(|(_, member)| member).collect()
 }
 
-/// The favourite of a key among some members. When the members change, only the keys of those that
-/// came or went move.
+/// Picks a member for a key by rendezvous hashing: when members join or leave, only their keys move.
 pub fn preferred_member<'a>(
     key: &str,
     members: impl IntoIterator<Item = &'a str>,
@@ -37,7 +33,7 @@
     members.into_iter().max_by_key(|member| weight(member))
 }
 
-/// Who does a work for `me`, where one of `span` members does it for all.
+/// Returns the role of `me` where one of `group_size` members does the job for its group.
 pub fn group_role<'a>(
     job: &str,
     me: &str,
@@ -51,8 +47,7 @@
     preferred_member(me, leaders).map_or(GroupRole::Leader, GroupRole::Follower)
 }
 
-/// Who does a work for `me` in a tree: one of `span` members does it for the others, and so on among
-/// those, until no more than `roots` are left that do it by themselves.
+/// Like [`group_role`], but leaders form groups again until at most `max_roots` of them are left.
 pub fn tree_role<'a>(
     job: &str,
     me: &str,
