--- a/src/core/members/message.rs
+++ b/src/core/members/message.rs
@@ -1,4 +1,4 @@
-//! What members tell one another.
+//! The messages that members exchange and the state that they report.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::core::ids::{ConfigVersion, Incarnation, InstanceId};
 use crate::core::timeline::CausalStamp;
 
-/// How a member stands, in rising order of what overrides what at equal revisions.
+/// At equal revisions a later variant overrides an earlier one.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Display,
 )]
@@ -22,7 +22,6 @@
     /// Alive, but takes no new work and hands over its shards.
     #[display("leaving")]
     Leaving,
-    /// Leaving, and suspect.
     #[display("doubted")]
     #[serde(rename = "doubted")]
     LeavingSuspect,
@@ -30,15 +29,15 @@
     Dead,
 }
 
-/// The mean load of the engines whose slots a member hands out.
+/// Mean load of the engines whose slots the member assigns.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberLoad {
-    /// Calls running and waiting that are not behind the class, in per mille of the slots.
+    /// Calls running, or queued at this class or above, in per mille of the slots.
     pub paying: u16,
     pub trial: u16,
-    /// Memory its programs need, in per mille.
+    /// Memory that its programs need, in per mille.
     pub pressure: u16,
-    /// How long a call holds a slot; zero if that is not known.
+    /// Mean time that a call holds a slot; zero if unknown.
     pub hold_millis: u32,
 }
 
@@ -55,7 +54,6 @@
     }
 }
 
-/// One instance as it describes itself, or as others saw it last.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberInfo {
     pub instance: InstanceId,
@@ -71,28 +69,26 @@
 }
 
 impl MemberState {
-    /// Whether the member has to answer for itself before it is taken for dead.
+    /// A suspect is declared dead unless it refutes the suspicion in time.
     pub fn is_suspect(self) -> bool {
         matches!(self, Self::Suspect | Self::LeavingSuspect)
     }
 }
 
 impl MemberInfo {
-    /// Whether this news replaces `old`.
     pub fn overrides(&self, old: &Self) -> bool {
         let rank = |info: &Self| (info.incarnation, info.revision, info.state);
         rank(self) > rank(old)
     }
 }
 
-/// One datagram.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GossipMessage {
     pub stamp: CausalStamp,
     pub from: InstanceId,
     pub from_address: Box<str>,
     pub config_head: ConfigVersion,
-    /// How long ago nothing above `config_head` existed, if the sender can tell.
+    /// Time since `config_head` was known to be the newest version; none if unknown.
     pub head_age: Option<Duration>,
     /// Pairs an ack with its ping.
     pub sequence: u32,
@@ -100,13 +96,12 @@
     pub body: GossipBody,
 }
 
-/// What a datagram asks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum GossipBody {
     Ping,
     Ack,
-    /// Ping this address on the sender's behalf.
+    /// Requests a ping of this address on the sender's behalf.
     IndirectPing(Box<str>),
-    /// The sender is new and wants to know everybody.
+    /// Requests the list of all members.
     Join,
 }
