--- a/src/core/members/dissemination.rs
+++ b/src/core/members/dissemination.rs
@@ -1,4 +1,4 @@
-//! How news of members comes in and goes on.
+//! Applies received member updates and selects those that outgoing messages carry.
 
 use rand::RngExt;
 use tokio::time::Instant;
@@ -8,14 +8,12 @@
 use crate::core::ids::ConfigVersion;
 use crate::core::timeline::CausalStamp;
 
-/// News is passed on this often for each digit of the number of members, but never less than at
-/// the least: with 8, a refutation was lost among 30 members at 5% loss and a living one was taken
-/// for dead. With more, the joins of a restart of hundreds fill all datagrams for minutes.
+/// An update is sent this many times for each decimal digit of the member count. A lower value loses
+/// refutations on lossy networks; a higher one fills all datagrams after a mass restart.
 const RETRANSMIT_FACTOR: u32 = 5;
 const MIN_RETRANSMITS: u32 = 16;
-/// Count of an entry that is not passed on.
+/// Send count of an entry that is never forwarded.
 const NOT_FORWARDED: u32 = u32::MAX;
-/// Members in one answer to a newcomer.
 const MAX_JOIN_REPLY_UPDATES: usize = 8;
 
 impl MemberTable {
@@ -54,9 +52,8 @@
                 }
                 return Vec::new();
             }
-            // Whoever has just started would believe the next one that has not heard of the death, and
-            // send callers to a machine that is gone. It is told to nobody: passed on from one newcomer
-            // to the next, it would never be forgotten.
+            // Kept so that an outdated update does not make the member alive again here. Not forwarded:
+            // joining members would pass it to each other and never forget it.
             None if update.state == MemberState::Dead => {
                 let entry = MemberEntry { info: update.clone(), since: now, sent: NOT_FORWARDED };
                 self.members.insert(update.instance.clone(), entry);
@@ -71,8 +68,7 @@
         vec![MemberAction::Changed(update.clone())]
     }
 
-    /// Others think that this instance is suspect or dead while it runs: it says otherwise with a
-    /// higher revision, which overrides the suspicion wherever it arrives.
+    /// Raises the revision if others suspect this instance, which overrides the suspicion.
     fn refute(&mut self, update: &MemberInfo) {
         let wrong = update.state.is_suspect() || update.state == MemberState::Dead;
         let about_me = update.incarnation == self.me.incarnation;
@@ -90,8 +86,8 @@
         MemberAction::Send { to, message }
     }
 
-    /// Adds what is thought of the receiver if it is thought to fail, so that it can refute at
-    /// once: the news may have gone round without reaching it.
+    /// Adds a suspicion of the receiver, so that it can refute it: the update may already have been
+    /// sent often enough without having reached it.
     fn add_receiver_suspicion(&self, to: &str, updates: &mut Vec<MemberInfo>) {
         let receiver = self.members.values().find(|entry| *entry.info.gossip_address == *to);
         let Some(info) = receiver.map(|entry| &entry.info) else { return };
@@ -101,7 +97,7 @@
         }
     }
 
-    /// Stamp and configuration head are filled in by the node that sends it.
+    /// The sending node fills in the stamp and the configuration head.
     fn message(&self, sequence: u32, body: GossipBody) -> GossipMessage {
         GossipMessage {
             stamp: CausalStamp::default(),
@@ -115,8 +111,7 @@
         }
     }
 
-    /// The news passed on least often. What has gone round is not repeated, this instance's own word
-    /// neither: it would be half of all bytes.
+    /// Picks the updates that were sent least often, up to the retransmission limit.
     fn pick_updates(&mut self) -> Vec<MemberInfo> {
         let members = self.members.len() as u32 + 1;
         let limit = (RETRANSMIT_FACTOR * (members.ilog10() + 1)).max(MIN_RETRANSMITS);
