--- a/src/core/members/table.rs
+++ b/src/core/members/table.rs
@@ -11,19 +11,17 @@
 use super::message::{GossipBody, GossipMessage, MemberInfo, MemberLoad, MemberState};
 use crate::core::ids::{Incarnation, InstanceId};
 
-/// Intervals and sizes of the detector.
 #[derive(Debug, Clone, Copy)]
 pub struct MemberSettings {
-    /// One member is probed in each interval, whatever their number.
+    /// One member is probed in each interval, however many there are.
     pub probe_interval: Duration,
-    /// An ack that takes longer is asked for by way of others.
+    /// Time until indirect probes are sent.
     pub probe_timeout: Duration,
     pub indirect_probes: usize,
-    /// A suspect that has not refuted for so long is dead.
+    /// Time after which a suspect that has not refuted is dead.
     pub suspicion_timeout: Duration,
-    /// Updates in one datagram.
+    /// Per datagram.
     pub max_updates: usize,
-    /// A dead member is forgotten after this.
     pub forget_after: Duration,
 }
 
@@ -40,16 +38,16 @@
     }
 }
 
-/// What the table wants done.
+/// An action that the caller of the table has to perform.
 #[derive(Debug, Clone, PartialEq)]
 pub enum MemberAction {
     Send {
         to: Box<str>,
         message: GossipMessage,
     },
-    /// A member is new or stands differently.
+    /// A member joined, restarted or changed its state.
     Changed(MemberInfo),
-    /// The datagram just received answers a ping that left at this moment.
+    /// The received datagram answers a ping that was sent at this time.
     Answered(Instant),
 }
 
@@ -57,7 +55,7 @@
 pub(super) struct MemberEntry {
     pub(super) info: MemberInfo,
     pub(super) since: Instant,
-    /// How often the news was passed on.
+    /// Times that this update was sent.
     pub(super) sent: u32,
 }
 
@@ -77,18 +75,16 @@
     started: Instant,
 }
 
-/// A ping that has not been answered yet.
 #[derive(Debug)]
 struct PendingPing {
     sequence: u32,
     sent: Instant,
 }
 
-/// All members as this instance knows them, itself included.
 pub struct MemberTable {
     pub(super) settings: MemberSettings,
     pub(super) me: MemberInfo,
-    /// How often this instance's own word was passed on since it last changed.
+    /// Times that this instance's own update was sent since it last changed.
     pub(super) me_sent: u32,
     pub(super) members: BTreeMap<InstanceId, MemberEntry>,
     order: Vec<InstanceId>,
@@ -103,9 +99,9 @@
     pub(super) suspicions: u64,
 }
 
-/// A tick this much later than planned means that this process was paused.
+/// A gap between ticks of more than this many probe intervals means that the process was paused.
 const PAUSE_FACTOR: u32 = 3;
-/// Members that a newcomer asks at a time; each answers with the whole list.
+/// Each seed replies with the complete member list.
 const MAX_JOIN_SEEDS: usize = 3;
 
 impl MemberTable {
@@ -122,7 +118,7 @@
             pending: Vec::new(),
             next_probe: now,
             last_tick: None,
-            // A late ack for the former run of this instance must not pass for one of this run.
+            // A late ack for an earlier incarnation must not match a ping of this one.
             sequence: rng.random(),
             rng,
             changes: 0,
@@ -134,12 +130,12 @@
         &self.me
     }
 
-    /// Rises with every change of membership, so that callers can cache what they derive from it.
+    /// Counts changes of membership, so that callers can cache what they derive from it.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Rises whenever others thought that this instance had failed, and it refuted that.
+    /// Counts the suspicions of this instance that it has refuted.
     pub fn suspicions(&self) -> u64 {
         self.suspicions
     }
@@ -151,28 +147,28 @@
         self.members.get(instance).map(|entry| &entry.info)
     }
 
-    /// Everyone, this instance included.
+    /// All members, this instance included.
     pub fn iter(&self) -> impl Iterator<Item = &MemberInfo> {
         std::iter::once(&self.me).chain(self.members.values().map(|entry| &entry.info))
     }
 
-    /// Members that may be given work: alive or merely suspected.
+    /// Members that may receive new work: alive or suspected.
     pub fn serving(&self) -> impl Iterator<Item = &MemberInfo> {
         self.iter().filter(|info| matches!(info.state, MemberState::Alive | MemberState::Suspect))
     }
 
-    /// Sets what this instance says of its own load; it travels with the next messages.
+    /// Takes effect with the next messages, without an update of its own.
     pub fn set_load(&mut self, load: MemberLoad) {
         self.me.load = load;
     }
 
-    /// Sets where callers connect; the news travels like a change of state.
+    /// Unlike the load, the address is propagated as an update of its own.
     pub fn set_http_address(&mut self, address: &str) {
         self.me.http_address = address.into();
         self.bump_me();
     }
 
-    /// Asks a few of the members at these addresses for everybody.
+    /// Requests the member list from a few of these addresses.
     pub fn join(&mut self, seeds: impl IntoIterator<Item = Box<str>>) -> Vec<MemberAction> {
         let me = self.me.gossip_address.clone();
         let mut others: Vec<_> = seeds.into_iter().filter(|seed| *seed != me).collect();
@@ -181,26 +177,24 @@
         others.into_iter().map(|seed| self.send(seed, 0, GossipBody::Join)).collect()
     }
 
-    /// Asks any member for everybody.
+    /// Requests the member list from a random member.
     pub fn request_member_list(&mut self) -> Vec<MemberAction> {
         let any = self.random_members(1, None);
         any.into_iter().map(|to| self.send(to, 0, GossipBody::Join)).collect()
     }
 
-    /// Announces that this instance leaves; the news goes to a few members at once.
     pub fn leave(&mut self, now: Instant) -> Vec<MemberAction> {
         self.me.state = MemberState::Leaving;
         self.bump_me();
         self.push_updates(now)
     }
 
-    /// Tells a few members at once what there is to tell.
+    /// Pings a few random members at once, which carries pending updates.
     pub fn push_updates(&mut self, now: Instant) -> Vec<MemberAction> {
         let targets = self.random_members(self.settings.indirect_probes, None);
         targets.into_iter().map(|to| self.ping_address(to, now)).collect()
     }
 
-    /// Asks one member for a sign of life and for what it knows.
     pub fn ping(&mut self, instance: &str, now: Instant) -> Vec<MemberAction> {
         let address = self.members.get(instance).map(|entry| entry.info.gossip_address.clone());
         address.into_iter().map(|to| self.ping_address(to, now)).collect()
@@ -212,7 +206,7 @@
         self.send(to, sequence, GossipBody::Ping)
     }
 
-    /// Goes on as a new incarnation of the same instance.
+    /// Continues as a new incarnation of the same instance.
     pub fn restart(&mut self, incarnation: Incarnation) {
         self.me.incarnation = incarnation;
         self.bump_me();
@@ -224,7 +218,7 @@
         self.changes += 1;
     }
 
-    /// To be called often; sends at most one round of probes an interval.
+    /// Must be called several times per probe interval.
     pub fn tick(&mut self, now: Instant) -> Vec<MemberAction> {
         self.reset_after_pause(now);
         let mut actions = self.expire_suspects(now);
@@ -240,8 +234,8 @@
         actions
     }
 
-    /// After a pause every ack is overdue and every suspicion has run out, though nobody else
-    /// failed: the paused instance would declare its peers dead. It starts its rounds anew.
+    /// After a pause of this process every ack is overdue and every suspicion expired; without a reset
+    /// it would declare its peers dead.
     fn reset_after_pause(&mut self, now: Instant) {
         let limit = self.settings.probe_interval * PAUSE_FACTOR;
         let paused = self.last_tick.is_some_and(|last| now - last > limit);
@@ -285,8 +279,8 @@
             return Vec::new();
         };
         let helpers = self.random_members(self.settings.indirect_probes, Some(&target));
-        let ask = |to| self.send(to, sequence, GossipBody::IndirectPing(address.clone()));
-        helpers.into_iter().map(ask).collect()
+        let request = |to| self.send(to, sequence, GossipBody::IndirectPing(address.clone()));
+        helpers.into_iter().map(request).collect()
     }
 
     fn conclude_probe(&mut self, now: Instant) -> Vec<MemberAction> {
@@ -294,8 +288,8 @@
         let Some(entry) = self.members.get_mut(&round.target) else { return Vec::new() };
         match entry.info.state {
             MemberState::Alive => entry.info.state = MemberState::Suspect,
-            // A leaving member finishes its calls; taken for dead at one lost datagram, it would
-            // lose its shards and cut them off.
+            // A leaving member still finishes calls, which it would lose if one lost datagram made it
+            // dead.
             MemberState::Leaving => entry.info.state = MemberState::LeavingSuspect,
             MemberState::Suspect | MemberState::LeavingSuspect | MemberState::Dead => {
                 return Vec::new();
@@ -316,7 +310,7 @@
         vec![ping]
     }
 
-    /// Goes round all members in an order that is drawn anew for each round.
+    /// Iterates over all members, shuffled again for each round.
     fn next_target(&mut self) -> Option<InstanceId> {
         loop {
             if self.order.is_empty() {
@@ -343,12 +337,11 @@
     }
 
     fn next_sequence(&mut self) -> u32 {
-        // Zero stands for messages that nobody asked for.
+        // Zero marks unsolicited messages.
         self.sequence = self.sequence.wrapping_add(1).max(1);
         self.sequence
     }
 
-    /// Takes in one datagram.
     pub fn receive(&mut self, message: &GossipMessage, now: Instant) -> Vec<MemberAction> {
         let mut actions = Vec::new();
         for update in &message.updates {
