--- a/src/core/members/mod.rs
+++ b/src/core/members/mod.rs
@@ -1,5 +1,5 @@
-//! Which instances are there: a gossiping failure detector with indirect probes and suspicion; and who
-//! of them does a work for the others.
+//! Membership of a zone's instances by a gossip protocol with indirect probes and suspicion, and the
+//! choice of leaders among them.
 
 mod dissemination;
 mod groups;
