--- a/src/core/quotas/limiter.rs
+++ b/src/core/quotas/limiter.rs
@@ -8,53 +8,43 @@
 use super::bucket::{BucketParams, TokenBucket};
 use super::{MAX_PERMIT_DELAY, QuotaBounds, QuotaLimit, QuotaReply};
 
-/// Part of the margin that a limiter itself uses: two fifths. As much is for its deputy, and a fifth for
-/// chance while members that have started find out who goes before whom: with all of it shared out, a
-/// window of a modelled mass start was 1% too full.
+/// Share of the tolerance that the primary uses. What it and the standby leave is a reserve for the time
+/// after a mass start, in which members disagree about the primary.
 const PRIMARY_TOLERANCE_SHARE: f64 = 0.4;
-/// Part of the margin that a deputy holds at once, and gives out again in a window: two fifths together.
+/// Share of the tolerance that a standby holds as its burst, and grants once more in each window.
 const STANDBY_TOLERANCE_SHARE: f64 = 0.2;
-/// Requests of a program where none has been seen: three to seven turns with some two calls each.
+/// Assumed requests per program until some have been observed.
 const PRIOR_PROGRAM_REQUESTS: f64 = 12.0;
-/// Most that a program is taken to need: calls that belong to no program count like those of one, and
-/// would make each the dearer. The longest have some 60 turns.
+/// Bounds the estimate, as calls outside any program count as requests of programs too.
 const MAX_PROGRAM_REQUESTS: f64 = 60.0;
-/// Programs that the prior counts for.
+/// Weight of the prior, in programs.
 const PRIOR_PROGRAM_COUNT: f64 = 4.0;
-/// Time over which requests and programs are counted, fading: some programs of a workspace with one
-/// in two seconds.
 const PROGRAM_REQUESTS_DECAY: Duration = Duration::from_secs(20);
-/// Part of the rate that new programs may plan with. What is left takes up programs that need more
-/// than the mean: at all of it, programs under way were refused.
+/// Share of the rate that new programs may claim. The rest absorbs programs longer than the mean, so
+/// that running ones are not refused.
 const PROGRAM_RATE_SHARE: f64 = 0.9;
-/// Part of the bucket below which new programs are held to their plan. Above it there is room, whatever
-/// they are expected to need: held to it always, a workspace a little below its limit was refused
-/// programs that all would have ended.
+/// Share of the bucket's capacity below which new programs are limited by their expected requests. Above
+/// it that would refuse programs of a workspace that stays below its limit.
 const LOW_LEVEL_SHARE: f64 = 0.85;
-/// Programs that may begin at once however small the limit is: callers of a small workspace come in
-/// threes now and then.
+/// Programs that may start at once even if the limit is small.
 const MIN_PROGRAM_BURST: f64 = 3.0;
-/// Shortest and longest time after which a refused request is told to come back. Callers wait up to a
-/// third of their time, 1.7 s of the longest objective; what comes later than that is not waited for.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Callers give up rather than wait longer.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_600);
 
-/// As what an instance limits a workspace.
+/// The role of an instance in limiting a workspace.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LimiterRole {
-    /// The workspace is its own, as far as it knows. `share` is the part of the known members that it
-    /// sees alive: where a network falls into pieces, each piece has a limiter, and their shares add up
-    /// to one. Without it two halves of a cut network had twice the limit.
+    /// Grants the limit times `share`, the fraction of the known members that it sees alive: each side
+    /// of a network partition has a primary, and their shares add up to one.
     Primary { share: f64 },
-    /// Another member's, whom somebody does not reach. It gives out a part of the margin only, so that
-    /// the limit holds though the other may go on.
+    /// Answers members that do not reach the primary. It grants part of the tolerance only, as the
+    /// primary may still be running.
     Standby,
-    /// Another member's, and this instance has started so lately that many may be taken for its deputy.
-    /// It gives out nothing.
+    /// Grants nothing: shortly after a start many members may be taken for the standby.
     Observer,
 }
 
-/// The limit of a workspace as one instance applies it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimiterParams {
     pub quota: QuotaLimit,
@@ -63,14 +53,12 @@
 }
 
 impl LimiterRole {
-    /// Whether the instance limits the workspace for all.
     pub fn is_primary(self) -> bool {
         matches!(self, Self::Primary { .. })
     }
 }
 
 impl LimiterParams {
-    /// What is let in at once and a second.
     fn call_bucket(&self) -> BucketParams {
         match self.role {
             LimiterRole::Primary { share } => {
@@ -90,8 +78,7 @@
         }
     }
 
-    /// What new programs may need that have so many requests each: in a window as much as the limit
-    /// holds there, and always some of them at once.
+    /// The bucket for the expected requests of new programs with `size` requests each.
     fn program_bucket(&self, size: f64) -> BucketParams {
         let calls = self.call_bucket();
         BucketParams {
@@ -101,15 +88,14 @@
     }
 }
 
-/// What a request asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaRequest {
-    /// Whether it is the first request of a program, which stands for all that follow.
+    /// The first request of a program is decided for all requests of the program.
     #[serde(rename = "opens")]
     pub is_first: bool,
 }
 
-/// How many requests a program has, learned from those that were let in.
+/// Estimates the requests per program from decaying counts.
 #[derive(Debug, Clone, Copy)]
 struct ProgramSize {
     requests: f64,
@@ -130,7 +116,7 @@
         self.programs = self.programs * kept + f64::from(u8::from(is_first));
     }
 
-    /// Takes back what was noted just now.
+    /// Undoes the last observation.
     fn retract(&mut self, is_first: bool) {
         self.requests = (self.requests - 1.0).max(0.0);
         self.programs = (self.programs - f64::from(u8::from(is_first))).max(0.0);
@@ -142,8 +128,8 @@
     }
 }
 
-/// When the next refused request may come back: one after another, at the pace at which there is room,
-/// so that they do not return together and find the bucket empty again.
+/// Spaces the retries of refused requests at the rate of the bucket, so that they do not return all at
+/// once.
 #[derive(Debug, Clone, Copy)]
 struct RetryQueue {
     next: Instant,
@@ -160,11 +146,9 @@
     }
 }
 
-/// Lets requests of one workspace in at its rate, and new programs at the rate at which all their
-/// requests fit.
+/// Limits the requests of one workspace, and its new programs so that all their requests fit.
 ///
-/// A program of seven turns and a dozen calls that is stopped in its midst has wasted all of them, so
-/// its first turn is refused instead, and whatever is under way finds room.
+/// A program that is refused halfway has wasted its earlier requests, so new programs are refused first.
 #[derive(Debug, Clone)]
 pub struct WorkspaceLimiter {
     calls: TokenBucket,
@@ -176,7 +160,7 @@
 }
 
 impl WorkspaceLimiter {
-    /// A limiter that has been responsible since a moment, and whose workspace has asked nothing.
+    /// `since` is the time from which this limiter is responsible; its buckets were empty then.
     pub fn new(since: Instant, params: LimiterParams, now: Instant) -> Self {
         let size = ProgramSize::new(now);
         let mut calls = TokenBucket::new(0.0, since);
@@ -187,8 +171,7 @@
         Self { calls, programs, size, call_retries: retries, program_retries: retries, refused: 0 }
     }
 
-    /// Decides about a request. `by_program` tells whether first requests are held to what their
-    /// programs need.
+    /// `by_program` limits first requests by the expected requests of their programs.
     pub fn decide(
         &mut self,
         request: QuotaRequest,
@@ -210,8 +193,8 @@
         }
         let Some(after) = self.calls.take(1.0, calls, MAX_PERMIT_DELAY) else {
             self.refused += 1;
-            // It was needed all the same: counted by what is let in alone, programs seem to need the
-            // less the more of their calls are refused, and ever more of them are begun.
+            // Refused requests count too: otherwise refusals lower the estimate, and too many programs
+            // are let in.
             if !request.is_first {
                 self.size.observe(false, now);
             }
@@ -226,9 +209,9 @@
         QuotaReply::Granted { after }
     }
 
-    /// Takes back a place that was granted lately and not used.
+    /// Returns a permit that was granted and not used.
     pub fn release(&mut self, request: QuotaRequest, params: LimiterParams) {
-        // First of all it was never there, or less is put back than was charged.
+        // Retracted first, as the charge was computed before the request was observed.
         self.size.retract(request.is_first);
         self.calls.refund(1.0, params.call_bucket());
         if request.is_first {
@@ -237,13 +220,13 @@
         }
     }
 
-    /// Empties the bucket; what waits for its place still runs and stays counted.
+    /// Empties the buckets. Delayed permits remain valid and stay charged.
     pub fn drain(&mut self, now: Instant) {
         self.calls.drain(now);
         self.programs.drain(now);
     }
 
-    /// Requests that may go on now; below zero where some wait.
+    /// Available requests; negative if permits are delayed.
     pub fn level(&self, params: LimiterParams, now: Instant) -> f64 {
         let mut calls = self.calls;
         calls.refill(params.call_bucket(), now);
