--- a/src/core/quotas/bucket.rs
+++ b/src/core/quotas/bucket.rs
@@ -1,19 +1,17 @@
-//! A bucket that fills at a steady rate.
+//! The token bucket of a limiter, with debt for delayed requests.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// How fast a bucket fills, and what it holds at most.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BucketParams {
-    /// Requests a second.
+    /// Per second.
     pub rate: f64,
     pub capacity: f64,
 }
 
 impl BucketParams {
-    /// Time in which so many requests come in.
     pub fn fill_time(&self, count: f64) -> Duration {
         Duration::from_secs_f64(
             (count.max(0.0) / self.rate.max(f64::MIN_POSITIVE)).min(MAX_WAIT_SECS),
@@ -21,14 +19,14 @@
     }
 }
 
-/// Requests that may be sent on. The level falls below zero for those that wait for their turn.
+/// The level is negative while granted requests are delayed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TokenBucket {
     level: f64,
     at: Instant,
 }
 
-/// Longest time that is told; a rate close to nothing would give none that can be written.
+/// Upper bound of computed waits: a rate near zero would overflow a `Duration`.
 const MAX_WAIT_SECS: f64 = 3_600.0;
 
 impl TokenBucket {
@@ -36,15 +34,14 @@
         Self { level, at: now }
     }
 
-    /// Fills the bucket up to now. A limit that changed takes hold from here on: the level is carried
-    /// over, cut to what the new one holds.
+    /// When the parameters changed, the level is carried over and capped at the new capacity.
     pub fn refill(&mut self, params: BucketParams, now: Instant) {
         let elapsed = now.saturating_duration_since(self.at).as_secs_f64();
         self.level = (self.level + params.rate * elapsed).min(params.capacity);
         self.at = self.at.max(now);
     }
 
-    /// Empties the bucket, whatever has come in since it was last filled; what is owed stays owed.
+    /// Discards all tokens, those since the last refill included; a negative level stays.
     pub fn drain(&mut self, now: Instant) {
         self.level = self.level.min(0.0);
         self.at = self.at.max(now);
@@ -54,7 +51,7 @@
         self.level
     }
 
-    /// Takes out some requests, if they are there within `patience`; the time until then.
+    /// Takes tokens if they are available within `max_wait`, and returns the time until then.
     pub fn take(
         &mut self,
         count: f64,
@@ -68,17 +65,15 @@
         })
     }
 
-    /// Takes out requests whether they are there or not, down to as many below zero as it holds.
+    /// Takes tokens unconditionally, down to a level of minus the capacity.
     pub fn charge(&mut self, count: f64, params: BucketParams) {
         self.level = (self.level - count).max(-params.capacity);
     }
 
-    /// Puts back what was not used.
     pub fn refund(&mut self, count: f64, params: BucketParams) {
         self.level = (self.level + count).min(params.capacity);
     }
 
-    /// Time until so many requests are there.
     pub fn wait(&self, count: f64, params: BucketParams) -> Duration {
         params.fill_time(count - self.level)
     }
