--- a/src/core/quotas/registry.rs
+++ b/src/core/quotas/registry.rs
@@ -1,4 +1,4 @@
-//! The limits that one instance keeps for all.
+//! The limiters that one instance runs for the others.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,46 +11,40 @@
 use super::{QuotaBounds, QuotaLimit, QuotaReply};
 use crate::core::ids::WorkspaceId;
 
-/// Pairs a reply with its question; drawn at random.
+/// Random; the same for each repetition of a request.
 pub type QuotaRequestId = u64;
 
-/// How long an answer is remembered, so that a question that is repeated is not counted twice: longer
-/// than any asker repeats its own.
+/// Replies are kept so that a repeated request is not counted twice. Longer than any member repeats one.
 const REPLY_RETENTION: Duration = Duration::from_secs(1);
-/// How long a limiter that has taken over gives out half of its share. Where a network falls apart, it
-/// takes some two seconds until each piece knows how small it is; that long the former limiter and
-/// this one both give out more than their part.
+/// A limiter that has taken over grants half of its share for this time: after a network partition both
+/// sides overestimate their shares until they have detected which members are lost.
 const TAKEOVER_DURATION: Duration = Duration::from_secs(2);
 
-/// A limit in force, as an operator sees it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LimitSample {
     pub workspace: WorkspaceId,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests beyond that at once.
+    /// Requests.
     pub burst: f64,
-    /// Requests that may go on now; below zero where some wait.
+    /// Available requests; negative if permits are delayed.
     pub level: f64,
-    /// Requests refused here so far.
+    /// Requests refused by this instance.
     pub refused: u64,
-    /// Whether this instance limits the workspace for all.
     #[serde(rename = "chief")]
     pub is_primary: bool,
 }
 
-/// One limiter and what it was last told.
 #[derive(Debug)]
 struct LimiterEntry {
     limiter: WorkspaceLimiter,
-    /// As the members stood when it was last asked.
+    /// As of the last request.
     params: LimiterParams,
-    /// When it took over from another one.
     taken_over: Option<Instant>,
 }
 
 impl LimiterEntry {
-    /// The limit as it is applied now: half of it while another one may not know yet.
+    /// Halves the share shortly after a takeover.
     fn effective_params(&self, now: Instant) -> LimiterParams {
         let age = self.taken_over.map(|at| now.saturating_duration_since(at));
         let role = match self.params.role {
@@ -63,19 +57,15 @@
     }
 }
 
-/// A question about one request.
 #[derive(Debug, Clone, Copy)]
 pub struct LimiterRequest<'a> {
-    /// The same for each time it is asked.
     pub id: QuotaRequestId,
     pub workspace: &'a WorkspaceId,
     pub quota_request: QuotaRequest,
-    /// The workspace's limit by the configuration in force here.
+    /// The limit in the configuration of this instance.
     pub quota: QuotaLimit,
 }
 
-/// Answers whoever asks. It drops a limiter when the members say that another one limits the workspace,
-/// and empties all of them when the process was paused.
 #[derive(Debug)]
 pub struct LimiterRegistry {
     bounds: QuotaBounds,
@@ -83,14 +73,14 @@
     primaries: HashMap<WorkspaceId, LimiterEntry>,
     standbys: HashMap<WorkspaceId, LimiterEntry>,
     replies: HashMap<QuotaRequestId, (Instant, QuotaReply)>,
-    /// The members by which the chiefs were last looked through.
+    /// The change of the view up to which transferred limiters were dropped.
     view_changed: Option<Instant>,
-    /// Nothing given out before is known.
+    /// Permits granted before this time are unknown.
     since: Instant,
 }
 
 impl LimiterRegistry {
-    /// `by_program` tells whether first requests are held to what their programs need.
+    /// `by_program` limits first requests by the expected requests of their programs.
     pub fn new(bounds: QuotaBounds, by_program: bool, now: Instant) -> Self {
         Self {
             bounds,
@@ -103,8 +93,8 @@
         }
     }
 
-    /// Empties all buckets after a pause. Meanwhile another one has taken over, and buckets that went on
-    /// filling would give out their bursts a second time.
+    /// Empties all buckets after a pause of the process. Another member has taken over meanwhile, so
+    /// bursts that accumulated here would be granted twice.
     pub fn restart(&mut self, now: Instant) {
         self.since = now;
         self.replies.clear();
@@ -112,7 +102,7 @@
         entries.for_each(|entry| entry.limiter.drain(now));
     }
 
-    /// Decides about a request; whether this instance limits the workspace for all.
+    /// Returns the reply, and whether this instance is the primary of the workspace.
     pub fn decide(
         &mut self,
         request: LimiterRequest<'_>,
@@ -137,7 +127,7 @@
         (reply, is_primary)
     }
 
-    /// The limiter of a workspace, with the limit as the members stand.
+    /// Returns the limiter of a workspace with updated parameters, and creates it if necessary.
     fn limiter(
         &mut self,
         request: &LimiterRequest<'_>,
@@ -147,7 +137,7 @@
     ) -> &mut LimiterEntry {
         let params = LimiterParams { quota: request.quota, bounds: self.bounds, role };
         let taken_over = view.taken_over(request.workspace);
-        // Nobody has asked since it is this one's, so nothing was given out.
+        // No request came since this instance became responsible, so no permit was granted.
         let (empty, entries) = match role {
             LimiterRole::Primary { .. } => {
                 (self.since.max(taken_over.unwrap_or(self.since)), &mut self.primaries)
@@ -163,21 +153,21 @@
         entry
     }
 
-    /// Takes back a place; one of a limiter that is no longer here is lost.
+    /// Permits of limiters that were dropped are ignored.
     pub fn release(&mut self, workspace: &str, request: QuotaRequest, now: Instant) {
         if let Some(entry) = self.primaries.get_mut(workspace) {
             entry.limiter.release(request, entry.effective_params(now));
         }
     }
 
-    /// To be called often: follows the members and forgets old answers.
+    /// Must be called regularly. Drops transferred limiters and expired replies.
     pub fn tick(&mut self, view: &QuotaView, now: Instant) {
         self.drop_transferred(view, now);
         self.replies.retain(|_, (at, _)| now.saturating_duration_since(*at) < REPLY_RETENTION);
     }
 
-    /// Drops the limiters of workspaces that have gone to another member: come back later, they begin
-    /// empty, as the other one gives out the limit meanwhile.
+    /// Drops the limiters of workspaces that another member limits now. If they return they start empty,
+    /// as the other member has granted the limit meanwhile.
     fn drop_transferred(&mut self, view: &QuotaView, now: Instant) {
         if self.view_changed == Some(view.changed()) {
             return;
@@ -186,7 +176,7 @@
         self.primaries.retain(|workspace, _| view.role(workspace, now).is_primary());
     }
 
-    /// The limits in force here, by name.
+    /// Sorted by workspace.
     pub fn samples(&self, now: Instant) -> Vec<LimitSample> {
         let sample = |(workspace, entry): (&WorkspaceId, &LimiterEntry)| LimitSample {
             workspace: workspace.clone(),
