--- a/src/core/quotas/view.rs
+++ b/src/core/quotas/view.rs
@@ -1,4 +1,4 @@
-//! Who limits which workspace, by one instance's view of the members.
+//! Assigns workspaces to limiters by rendezvous hashing over one instance's view of the members.
 
 use std::time::Duration;
 
@@ -8,67 +8,58 @@
 use super::limiter::LimiterRole;
 use crate::core::ids::{Incarnation, InstanceId};
 
-/// How a member stands as a limiter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimiterStatus {
     Alive,
-    /// It may still answer.
+    /// Still asked, but replaced as the limiter.
     Suspect,
-    /// It is gone, or cut off with others.
+    /// Dead, or on another side of a network partition.
     Gone,
 }
 
-/// A member as far as limiters concern it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuotaMember {
     pub instance: InstanceId,
-    /// Another run of it knows nothing of what this one gave out.
+    /// Another incarnation does not know the permits that this one granted.
     pub incarnation: Incarnation,
-    /// Where its datagrams go.
     pub address: Box<str>,
     pub status: LimiterStatus,
 }
 
-/// A member that was alive and then was not.
 #[derive(Debug, Clone)]
 struct LostMember {
     instance: InstanceId,
     incarnation: Incarnation,
     lost_at: Instant,
-    /// When the same run of it was alive again.
+    /// Set if the same incarnation is alive again.
     returned_at: Option<Instant>,
 }
 
-/// The members at a moment.
 #[derive(Debug, Clone)]
 pub struct QuotaView {
     me: InstanceId,
     members: Vec<QuotaMember>,
-    /// Members there are, as far as is known, those that are gone included.
+    /// Includes members that are gone.
     known_count: usize,
-    /// When others came to be alive, or no longer were.
+    /// Last change of the set of alive members.
     changed: Instant,
-    /// Where one of them would limit a workspace, this instance has taken it over when it was lost.
+    /// This instance took over a workspace when it lost the members that rank higher for it.
     lost: Vec<LostMember>,
-    /// When this instance began to look.
     started: Instant,
 }
 
-/// How long it is known who was lost. Whatever was taken over then has filled up since.
+/// Longer than it takes a limiter that has taken over to fill its bucket.
 const LOST_MEMBER_RETENTION: Duration = Duration::from_secs(60);
-/// How long an instance that has started counts as learning while it knows fewer members than there are:
-/// news of all of them takes about a second. Where all start at once, some take themselves for the
-/// limiter that do not know yet who goes before them, and many for its deputy; their parts add up to more
-/// than one at times.
+/// For this time after its start an instance that does not know all members grants less: after a mass
+/// start several instances take themselves for the limiter or its standby of one workspace.
 const DISCOVERY_DURATION: Duration = Duration::from_secs(2);
-/// How long a member that is back does not count yet. Where a cut has healed, the limiters on both
-/// sides learn of it within a second or so of each other; if each took its part for the whole at
-/// once, both would give out the whole limit until then.
+/// Returned members do not count towards the share for this time. The limiters on both sides of a healed
+/// network partition detect it at different times, and would both grant the full limit in between.
 const REJOIN_DURATION: Duration = Duration::from_secs(2);
 
 impl QuotaView {
-    /// `least` is how many members there are at least, by what was kept of an earlier time: where all
-    /// instances start at once, each knows itself first, and would take itself for all there are.
+    /// `min_members` is a stored member count. Without it an instance that has just started knows only
+    /// itself, and would grant the full limit.
     pub fn new(
         me: InstanceId,
         members: Vec<QuotaMember>,
@@ -79,7 +70,6 @@
         Self { me, members, known_count, changed: now, lost: Vec::new(), started: now }
     }
 
-    /// Takes newer members; what is limited here and stays here goes on.
     pub fn update(&mut self, members: Vec<QuotaMember>, min_members: usize, now: Instant) {
         let newer = Self::new(self.me.clone(), members, min_members, now);
         if self.alive().eq(newer.alive()) {
@@ -105,20 +95,19 @@
         self.alive_members().map(|member| &member.instance)
     }
 
-    /// When others came to be alive, or no longer were.
+    /// Time of the last change of the set of alive members.
     pub fn changed(&self) -> Instant {
         self.changed
     }
 
-    /// When this instance took over a workspace, if it limits it: when whoever goes before it was last
-    /// seen alive. None if nobody did.
+    /// Time at which this instance lost the last member that ranks higher for the workspace; none if
+    /// there was none.
     pub fn taken_over(&self, workspace: &str) -> Option<Instant> {
         let own = weight(workspace, &self.me);
         let before = self.lost.iter().filter(|other| weight(workspace, &other.instance) > own);
         before.map(|other| other.lost_at).max()
     }
 
-    /// The member that limits a workspace, as far as this instance knows.
     pub fn limiter(&self, workspace: &str) -> Option<&QuotaMember> {
         self.alive_members().max_by_key(|member| weight(workspace, &member.instance))
     }
@@ -131,7 +120,7 @@
         member.instance == self.me
     }
 
-    /// Whom to ask about a workspace: its limiter, and who answers if that one does not.
+    /// Members to ask about a workspace: its limiter, then the standby. Suspects are included.
     pub fn candidates(&self, workspace: &str) -> [Option<&QuotaMember>; 2] {
         let mut best: [Option<(u64, &QuotaMember)>; 2] = [None, None];
         for member in self.members.iter().filter(|m| m.status != LimiterStatus::Gone) {
@@ -145,10 +134,10 @@
                 best[1] = candidate;
             }
         }
-        best.map(|place| place.map(|(_, member)| member))
+        best.map(|candidate| candidate.map(|(_, member)| member))
     }
 
-    /// As what this instance limits a workspace.
+    /// The role of this instance for a workspace.
     pub fn role(&self, workspace: &str, now: Instant) -> LimiterRole {
         let is_primary = self.limiter(workspace).is_some_and(|limiter| self.is_me(limiter));
         match (is_primary, self.is_discovering(now)) {
@@ -164,7 +153,7 @@
         new && self.alive_count() < self.known_count
     }
 
-    /// Part of the known members that are alive, those that are only just back left out.
+    /// Fraction of the known members that are alive, without those that just returned.
     fn share(&self, now: Instant) -> f64 {
         let returning = self.lost.iter().filter(|member| member.is_returning(now)).count();
         let counted = self.alive_count().saturating_sub(returning).max(1);
