--- a/src/core/quotas/share.rs
+++ b/src/core/quotas/share.rs
@@ -1,24 +1,21 @@
-//! The other way that was weighed: an equal part of each limit at each instance, no message.
+//! Limits without messages between instances: each applies an equal share of every limit.
 
 use tokio::time::Instant;
 
 use super::bucket::{BucketParams, TokenBucket};
 use super::{MAX_PERMIT_DELAY, QuotaBounds, QuotaLimit, QuotaReply};
 
-/// One instance's part of a workspace's limit.
 #[derive(Debug, Clone)]
 pub struct QuotaShare {
     bucket: TokenBucket,
 }
 
 impl QuotaShare {
-    /// A part that begins empty, as an instance that has started knows nothing of what its former run
-    /// gave out.
+    /// Starts empty, as the requests that an earlier incarnation granted are unknown.
     pub fn new(now: Instant) -> Self {
         Self { bucket: TokenBucket::new(0.0, now) }
     }
 
-    /// Decides about a request at one of `instances`.
     pub fn decide(
         &mut self,
         limit: QuotaLimit,
@@ -26,11 +23,11 @@
         instances: usize,
         now: Instant,
     ) -> QuotaReply {
-        let part = 1.0 / instances.max(1) as f64;
-        let rate = limit.rate * (1.0 + bounds.over) * part;
-        // A part below one request would hold none at all; that the whole is exceeded by the rounding
-        // is what speaks against this way.
-        let capacity = ((limit.burst * (1.0 + bounds.over) + bounds.slack) * part).max(1.0);
+        let share = 1.0 / instances.max(1) as f64;
+        let rate = limit.rate * (1.0 + bounds.over) * share;
+        // A capacity below one would grant nothing. The rounding lets the sum of all shares exceed the
+        // limit.
+        let capacity = ((limit.burst * (1.0 + bounds.over) + bounds.slack) * share).max(1.0);
         let params = BucketParams { rate, capacity };
         self.bucket.refill(params, now);
         match self.bucket.take(1.0, params, MAX_PERMIT_DELAY) {
