--- a/tests/members.rs
+++ b/tests/members.rs
@@ -1,4 +1,5 @@
-//! Members: many copies of the real tables exchanging encoded datagrams on a counted clock.
+//! Simulations of the membership protocol: many member tables exchange encoded datagrams on a virtual
+//! clock.
 
 mod support;
 
@@ -24,14 +25,13 @@
     report
 }
 
-/// Nothing happens but a lost datagram in a hundred. Nobody may be taken for dead, a change must be
-/// in force and every proof of currency young enough everywhere, within the bytes for control.
+/// Guards against false deaths, late configuration changes and excessive gossip traffic at 1% loss.
 #[rstest]
 #[case(3)]
 #[case(10)]
 #[case(30)]
 #[case(100)]
-fn a_quiet_cluster_stays_whole_and_cheap(#[case] nodes: usize) {
+fn stable_cluster_with_loss_has_no_false_deaths_and_little_traffic(#[case] nodes: usize) {
     let report = run(nodes, 10, MemberDisturbance::Nothing);
     assert_eq!(report.false_deaths, 0);
     assert!(report.change_spread < Duration::from_secs(3));
@@ -39,51 +39,51 @@
     assert!(report.bytes_sent + report.bytes_received < 3000.0);
 }
 
-/// An instance dies. All others must know within seconds, and take nobody else for dead.
+/// Guards against late detection of a dead instance, and against false deaths of others.
 #[rstest]
 #[case(3, 0)]
 #[case(30, 50)]
 #[case(100, 10)]
-fn a_death_is_known_to_all_soon(#[case] nodes: usize, #[case] loss: u32) {
+fn death_is_detected_by_all_members_in_time(#[case] nodes: usize, #[case] loss: u32) {
     let report = run(nodes, loss, MemberDisturbance::Death);
     assert_eq!(report.false_deaths, 0);
     assert!(report.first_detection > Duration::from_secs(2));
     assert!(report.last_detection < Duration::from_secs(8));
 }
 
-/// An instance stands still for longer than it takes to be declared dead. When it wakes, every ack
-/// is overdue: it must doubt itself, not the others, and be taken back by them.
+/// Guards against a resumed instance that declares its peers dead because all acks are overdue.
 #[rstest]
 #[case(10, 1)]
 #[case(10, 10)]
 #[case(30, 10)]
-fn a_paused_instance_doubts_itself(#[case] nodes: usize, #[case] seconds: u64) {
+fn paused_instance_recovers_without_declaring_others_dead(
+    #[case] nodes: usize,
+    #[case] seconds: u64,
+) {
     let report = run(nodes, 0, MemberDisturbance::Pause(Duration::from_secs(seconds)));
-    // The others may each take the one that stands still for dead, it takes none of them.
+    // Each of the others may declare the paused instance dead, but not the reverse.
     assert!(report.false_deaths < nodes as u32);
     assert!(report.recovery < Duration::from_secs(seconds + 8));
 }
 
-/// One instance's datagrams to one other are lost for good. Its probes reach that one by way of
-/// others, so neither is ever taken for dead.
+/// Indirect probes must keep both ends of a link alive that loses all datagrams in one direction.
 #[rstest]
-fn a_one_way_cut_kills_nobody(#[values(3, 10, 30)] nodes: usize) {
+fn one_way_cut_causes_no_death(#[values(3, 10, 30)] nodes: usize) {
     assert_eq!(run(nodes, 10, MemberDisturbance::OneWayCut).false_deaths, 0);
 }
 
-/// No datagram passes between the halves until each holds the other for dead and probes it no more.
-/// After the cut they must find each other again through the roster's addresses.
+/// The halves declare each other dead and stop probing; afterwards they must rejoin through the roster's
+/// addresses.
 #[rstest]
-fn halves_meet_again_after_a_cut(#[values(4, 30)] nodes: usize) {
+fn partitioned_halves_rejoin_after_the_cut(#[values(4, 30)] nodes: usize) {
     let report = run(nodes, 0, MemberDisturbance::Split(Duration::from_secs(20)));
     assert!(report.false_deaths > 0);
     assert!(report.recovery < Duration::from_secs(35));
 }
 
-/// Two instances of three cannot reach each other; the third reaches both. Neither may be taken for
-/// dead or fenced, and callers of either are served.
+/// Guards against fencing when two of three instances cannot reach each other but the third reaches both.
 #[test]
-fn an_instance_that_one_other_cannot_reach_keeps_its_shards() {
+fn instance_unreachable_for_one_peer_keeps_its_shards() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 1_000_000).await;
