--- a/tests/member_deaths.rs
+++ b/tests/member_deaths.rs
@@ -1,4 +1,4 @@
-//! News of a death and of the life before it, in the wrong order.
+//! Updates about a dead member that arrive out of order.
 
 use merlinsaddle::core::members::{
     GossipBody, GossipMessage, MemberInfo, MemberLoad, MemberSettings, MemberState, MemberTable,
@@ -20,11 +20,11 @@
     }
 }
 
-fn news(updates: Vec<MemberInfo>) -> GossipMessage {
+fn message(updates: Vec<MemberInfo>) -> GossipMessage {
     GossipMessage {
         stamp: CausalStamp::default(),
-        from: "teller".into(),
-        from_address: "teller:3".into(),
+        from: "sender".into(),
+        from_address: "sender:3".into(),
         config_head: 0,
         head_age: None,
         sequence: 0,
@@ -33,23 +33,22 @@
     }
 }
 
-/// A machine is gone for good. An instance that has just started asks two members for everybody: the first
-/// knows of the death, the second has not heard of it. Callers must not be sent to the machine by that; a
-/// new run of it counts.
+/// A joining member must not route callers to a dead member because of an outdated update, but must accept
+/// a new incarnation.
 #[tokio::test(start_paused = true)]
-async fn a_newcomer_believes_the_death_it_heard_of_first() {
+async fn outdated_update_does_not_revive_a_dead_member() {
     let me = info("me", 1, MemberState::Alive);
     let mut table = MemberTable::new(MemberSettings::default(), me, 7, Instant::now());
-    let state = |table: &MemberTable| table.get("gone").map(|member| member.state);
-    table.receive(&news(vec![info("gone", 5, MemberState::Dead)]), Instant::now());
-    table.receive(&news(vec![info("gone", 5, MemberState::Alive)]), Instant::now());
+    let state = |table: &MemberTable| table.get("failed").map(|member| member.state);
+    table.receive(&message(vec![info("failed", 5, MemberState::Dead)]), Instant::now());
+    table.receive(&message(vec![info("failed", 5, MemberState::Alive)]), Instant::now());
     assert_eq!(state(&table), Some(MemberState::Dead));
-    // Nothing of it is passed on, to newcomers neither: the news of the death would go round for ever.
-    let mut join = news(Vec::new());
+    // Not forwarded, not even to joining members, which would pass it on for ever.
+    let mut join = message(Vec::new());
     join.body = GossipBody::Join;
-    let welcome = table.receive(&join, Instant::now());
-    let sent = format!("{welcome:?}{:?}", table.tick(Instant::now()));
-    assert!(sent.contains("me:3") && !sent.contains("gone"), "{sent}");
-    table.receive(&news(vec![info("gone", 6, MemberState::Alive)]), Instant::now());
+    let reply = table.receive(&join, Instant::now());
+    let sent = format!("{reply:?}{:?}", table.tick(Instant::now()));
+    assert!(sent.contains("me:3") && !sent.contains("failed"), "{sent}");
+    table.receive(&message(vec![info("failed", 6, MemberState::Alive)]), Instant::now());
     assert_eq!(state(&table), Some(MemberState::Alive));
 }
