--- a/tests/quota_limits.rs
+++ b/tests/quota_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of workspaces, decided without sockets: one limiter, who it is, and the other way.
+//! Workspace limits without sockets: token buckets, limiters, their assignment, and equal shares.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_bucket_fills_at_its_rate_and_no_further() {
+async fn bucket_fills_at_its_rate_up_to_its_capacity() {
     let params = BucketParams { rate: 10.0, capacity: 5.0 };
     let mut bucket = TokenBucket::new(0.0, Instant::now());
     assert_eq!(bucket.take(1.0, params, Duration::ZERO), None);
@@ -35,23 +35,22 @@
     advance(Duration::from_secs(60)).await;
     bucket.refill(params, Instant::now());
     assert_eq!(bucket.level(), 5.0);
-    // A lower limit cuts what is there; a higher one fills nothing up.
+    // A lower capacity caps the level; a higher one does not raise it.
     bucket.refill(BucketParams { rate: 10.0, capacity: 2.0 }, Instant::now());
     bucket.refill(BucketParams { rate: 10.0, capacity: 9.0 }, Instant::now());
     assert_eq!(bucket.level(), 2.0);
 }
 
-/// A workspace sends ten times its limit for a minute. In no window does it get more than the limit
-/// allows there, and it gets nearly all of that.
+/// Guards against windows above the limit, and against grants far below it.
 #[tokio::test(start_paused = true)]
-async fn a_flood_gets_the_limit_and_no_more() {
+async fn flooded_limiter_grants_exactly_the_limit() {
     let params = limiter_params(20.0, 20.0, STRICT);
     let mut limiter = WorkspaceLimiter::new(Instant::now(), params, Instant::now());
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut runs: Vec<Duration> = Vec::new();
-    while begun.elapsed() < Duration::from_secs(60) {
+    while started.elapsed() < Duration::from_secs(60) {
         if let QuotaReply::Granted { after } = limiter.decide(CALL, params, true, Instant::now()) {
-            runs.push(begun.elapsed() + after);
+            runs.push(started.elapsed() + after);
         }
         advance(Duration::from_millis(5)).await;
     }
@@ -63,9 +62,9 @@
     assert!(runs.len() >= 1_190, "{} in a minute", runs.len());
 }
 
-/// Refused callers are told to come back one after another, at the pace at which there is room.
+/// Guards against refused callers that all retry at once.
 #[tokio::test(start_paused = true)]
-async fn refused_requests_come_back_one_by_one() {
+async fn retries_of_refused_requests_are_spaced_at_the_rate() {
     let params = limiter_params(10.0, 10.0, STRICT);
     let now = Instant::now();
     let mut limiter = WorkspaceLimiter::new(now, params, now);
@@ -75,61 +74,60 @@
             returns.push(retry_after.as_millis());
         }
     }
-    // Two wait for their place here; the others come back 0.1 s apart.
+    // Two requests are delayed here; the others retry 0.1 s apart.
     assert_eq!(returns, [300, 400, 500, 600, 700, 800]);
 }
 
-/// Programs come that need twice the limit. Let in by what they need, those that begin nearly all end, also
-/// when they need far more requests than was assumed and the first ones are refused calls for that; refused
-/// call by call, a third and more are stopped in their midst, and what they had is wasted.
+/// At twice the limit, admission by program must let started programs complete, also when they send more
+/// requests than assumed; admission by call is the reference that does not.
 #[rstest]
 #[case::by_program(12, true, 0.9, 1.0)]
-#[case::of_many_requests(40, true, 0.9, 1.0)]
+#[case::by_long_program(40, true, 0.9, 1.0)]
 #[case::by_call(12, false, 0.0, 0.7)]
 #[tokio::test(start_paused = true)]
-async fn programs_that_begin_can_end(
+async fn started_programs_complete_under_overload(
     #[case] requests: u32,
     #[case] by_program: bool,
-    #[case] least: f64,
-    #[case] most: f64,
+    #[case] min_share: f64,
+    #[case] max_share: f64,
 ) {
     let rate = 2.0 * f64::from(requests);
     let params = limiter_params(rate, rate, STRICT);
     let mut limiter = WorkspaceLimiter::new(Instant::now(), params, Instant::now());
-    // Each entry: when the next request of a program is due, which it is, and when the program began.
+    // Per entry: due time of a program's next request, its number, and the step of the first request.
     let mut due: Vec<(Instant, u32, u32)> = Vec::new();
-    let (mut begun, mut ended) = (0, 0);
+    let (mut started, mut ended) = (0, 0);
     for step in 0..6_000_u32 {
         let now = Instant::now();
-        // Four programs a second, where two fit.
+        // Four programs per second, where the limit allows two.
         if step % 12 == 0 && step < 5_000 {
             due.push((now, 0, step));
         }
         let ready: Vec<_> = due.extract_if(.., |(at, ..)| *at <= now).collect();
         for (_, number, since) in ready {
-            // What programs need is learned from the first ones.
+            // The first programs only train the estimate.
             let counts = u32::from(since >= 2_000);
             let ask = QuotaRequest { is_first: number == 0 };
             match limiter.decide(ask, params, by_program, now) {
                 QuotaReply::Granted { .. } => {
-                    begun += counts * u32::from(number == 0);
+                    started += counts * u32::from(number == 0);
                     match number + 1 < requests {
                         true => due.push((now + Duration::from_millis(300), number + 1, since)),
                         false => ended += counts,
                     }
                 }
-                // A call that is refused once more than its tries ends the program.
+                // A refused request ends the program.
                 QuotaReply::Refused { .. } => {}
             }
         }
         advance(Duration::from_millis(20)).await;
     }
-    let share = f64::from(ended) / f64::from(begun);
-    assert!((least..=most).contains(&share), "{ended} of {begun} ended");
+    let share = f64::from(ended) / f64::from(started);
+    assert!((min_share..=max_share).contains(&share), "{ended} of {started} ended");
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_was_not_used_goes_back() {
+async fn released_permit_is_granted_again() {
     let params = limiter_params(1.0, 1.0, STRICT);
     let mut limiter = WorkspaceLimiter::new(Instant::now(), params, Instant::now());
     advance(Duration::from_secs(10)).await;
@@ -140,7 +138,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_limit_that_is_all_but_nothing_is_told_in_figures() {
+async fn limit_near_zero_gives_a_finite_retry_delay() {
     let params = limiter_params(1e-300, 1.0, STRICT);
     let standby = LimiterParams { role: LimiterRole::Standby, ..params };
     let mut limiter = WorkspaceLimiter::new(Instant::now(), standby, Instant::now());
@@ -163,40 +161,38 @@
     statuses.iter().enumerate().map(member).collect()
 }
 
-fn view_of(me: usize, statuses: &[LimiterStatus], least: usize) -> QuotaView {
-    QuotaView::new(format!("i{me}").into(), members(statuses), least, Instant::now())
+fn view_of(me: usize, statuses: &[LimiterStatus], min_members: usize) -> QuotaView {
+    QuotaView::new(format!("i{me}").into(), members(statuses), min_members, Instant::now())
 }
 
-/// When an instance that has started now counts what it knows in full.
-fn settled() -> Instant {
+/// A time after the discovery phase of an instance that starts now.
+fn after_discovery() -> Instant {
     Instant::now() + Duration::from_secs(3)
 }
 
-/// Members that agree name one limiter; a piece of a cut network has one each, and their parts add up
-/// to the whole.
+/// Guards against limits granted more than once by members with different views.
 #[tokio::test(start_paused = true)]
-async fn the_parts_of_all_limiters_add_up_to_one() {
+async fn shares_of_all_limiters_add_up_to_one() {
     use LimiterStatus::{Alive, Gone};
-    let share = |view: &QuotaView| match view.role("acme", settled()) {
+    let share = |view: &QuotaView| match view.role("acme", after_discovery()) {
         LimiterRole::Primary { share } => share,
         LimiterRole::Standby | LimiterRole::Observer => 0.0,
     };
-    let whole: f64 = (0..9).map(|me| share(&view_of(me, &[Alive; 9], 0))).sum();
-    assert_eq!(whole, 1.0);
+    let total: f64 = (0..9).map(|me| share(&view_of(me, &[Alive; 9], 0))).sum();
+    assert_eq!(total, 1.0);
     let near: Vec<_> = (0..9).map(|n| if n < 3 { Alive } else { Gone }).collect();
     let far: Vec<_> = (0..9).map(|n| if n < 3 { Gone } else { Alive }).collect();
     let parts = (0..9).map(|me| share(&view_of(me, if me < 3 { &near } else { &far }, 0)));
     let sum: f64 = parts.sum();
     assert!((sum - 1.0).abs() < 1e-9, "{sum}");
-    // All have just started and know themselves only, but the store told them how many they are.
+    // All have just started and know only themselves and the stored member count.
     let alone: f64 = (0..9).map(|_| share(&view_of(0, &[Alive], 9))).sum();
     assert!((alone - 1.0).abs() < 1e-9, "{alone}");
 }
 
-/// An instance that has just started and does not know all members yet gives out half of its part, and
-/// nothing as a deputy, as many may be taken for one.
+/// An instance that does not know all members yet must grant half of its share, and nothing as a standby.
 #[tokio::test(start_paused = true)]
-async fn who_has_just_started_gives_out_less() {
+async fn started_instance_grants_less_during_discovery() {
     use LimiterStatus::Alive;
     let role = |view: &QuotaView, after: u64| {
         view.role("acme", Instant::now() + Duration::from_secs(after))
@@ -204,18 +200,20 @@
     let alone = view_of(0, &[Alive], 4);
     assert_eq!(role(&alone, 1), LimiterRole::Primary { share: 0.125 });
     assert_eq!(role(&alone, 3), LimiterRole::Primary { share: 0.25 });
-    let other = |least| {
-        (0..3).map(|me| view_of(me, &[Alive; 3], least)).find(|view| !role(view, 3).is_primary())
+    let other = |min_members| {
+        (0..3)
+            .map(|me| view_of(me, &[Alive; 3], min_members))
+            .find(|view| !role(view, 3).is_primary())
     };
-    let learning = other(4).expect("two of three are no limiters");
-    assert_eq!(role(&learning, 1), LimiterRole::Observer);
-    assert_eq!(role(&learning, 3), LimiterRole::Standby);
+    let discovering = other(4).expect("two of three are no limiters");
+    assert_eq!(role(&discovering, 1), LimiterRole::Observer);
+    assert_eq!(role(&discovering, 3), LimiterRole::Standby);
     let complete = other(3).expect("two of three are no limiters");
     assert_eq!(role(&complete, 0), LimiterRole::Standby);
 }
 
 #[tokio::test(start_paused = true)]
-async fn who_is_asked_first_limits() {
+async fn first_candidate_is_the_limiter() {
     use LimiterStatus::{Alive, Gone, Suspect};
     for workspace in ["a", "b", "c", "d", "e", "f"] {
         let view = view_of(0, &[Alive; 5], 0);
@@ -224,11 +222,11 @@
         assert_ne!(first.instance, second.instance);
         let of = |member: &QuotaMember, statuses: &[LimiterStatus]| {
             let number = member.instance[1..].parse().expect("a number");
-            view_of(number, statuses, 0).role(workspace, settled())
+            view_of(number, statuses, 0).role(workspace, after_discovery())
         };
         assert_eq!(of(&first, &[Alive; 5]), PRIMARY);
         assert_eq!(of(&second, &[Alive; 5]), LimiterRole::Standby);
-        // Once it is suspected, the second one takes over; it may still be asked.
+        // The second one takes over from a suspect, which is still asked.
         let number: usize = first.instance[1..].parse().expect("a number");
         let mut statuses = [Alive; 5];
         statuses[number] = Suspect;
@@ -248,9 +246,9 @@
     LimiterRequest { id, workspace, quota_request: CALL, quota }
 }
 
-/// An answer is lost and the question comes again: it is counted once.
+/// Guards against charging a request twice whose reply was lost.
 #[tokio::test(start_paused = true)]
-async fn a_repeated_question_is_counted_once() {
+async fn repeated_request_is_counted_once() {
     let view = view_of(0, &[LimiterStatus::Alive], 0);
     let quota = QuotaLimit { rate: 1.0, burst: 2.0 };
     let workspace = "acme".into();
@@ -266,11 +264,10 @@
     assert!(!is_granted(reply));
 }
 
-/// The limiter of a workspace is killed, and this one takes over; it comes back, and is killed again.
-/// This one's bucket has been full before; it must not give that burst out a second time, as the other
-/// one gave out the limit meanwhile: two bursts in a window are more than the limit allows.
+/// Guards against granting a burst twice when a limiter takes over again from a member that returned
+/// in between.
 #[tokio::test(start_paused = true)]
-async fn a_limiter_that_takes_over_again_begins_empty() {
+async fn limiter_that_takes_over_again_starts_empty() {
     use LimiterStatus::{Alive, Gone};
     let workspace: Box<str> = "acme".into();
     let first = view_of(0, &[Alive; 2], 0).candidates(&workspace)[0].expect("two").instance.clone();
@@ -294,7 +291,7 @@
     view.update(members(&without), 0, Instant::now());
     registry.decide(request(2, &workspace, quota), &view, Instant::now());
     assert!(level(&registry).expect("it limits again") < 1.0, "{:?}", level(&registry));
-    // Another member's end does not concern it: what has filled up stays.
+    // The loss of a member that ranks lower does not drain the bucket.
     advance(Duration::from_secs(100)).await;
     let third = |number: usize| {
         let mut three = members(&without);
@@ -302,11 +299,12 @@
         three.push(QuotaMember { instance, incarnation: 1, address: "z:1".into(), status: Alive });
         three
     };
-    let goes_before = |three: &[QuotaMember]| {
+    let ranks_higher = |three: &[QuotaMember]| {
         let view = QuotaView::new(format!("i{me}").into(), three.to_vec(), 0, Instant::now());
         !view.role(&workspace, Instant::now()).is_primary()
     };
-    let mut three = (0..).map(third).find(|three| !goes_before(three)).expect("one of them");
+    let mut three =
+        (0..).map(third).find(|three| !ranks_higher(three)).expect("a member that ranks lower");
     view.update(three.clone(), 0, Instant::now());
     three[2].status = Gone;
     view.update(three, 0, Instant::now());
@@ -314,9 +312,9 @@
     assert!(level(&registry).expect("it limits") > 30.0, "{:?}", level(&registry));
 }
 
-/// A process that was paused is asked the moment it wakes: it gives out nothing that filled meanwhile.
+/// Guards against granting tokens that accumulated during a pause of the process.
 #[tokio::test(start_paused = true)]
-async fn a_limiter_begins_empty_after_a_pause() {
+async fn limiter_starts_empty_after_a_pause() {
     let view = view_of(0, &[LimiterStatus::Alive], 0);
     let workspace: Box<str> = "acme".into();
     let quota = QuotaLimit { rate: 10.0, burst: 100.0 };
@@ -327,17 +325,17 @@
     assert!(registry.samples(Instant::now())[0].level < 1.0);
 }
 
-/// What a deputy gives out in a window, together with what the limiter does, is within the margin.
+/// Guards against grants of primary and standby that together exceed the tolerance.
 #[tokio::test(start_paused = true)]
-async fn a_limiter_and_its_deputy_keep_the_bound() {
+async fn primary_and_standby_together_stay_within_the_tolerance() {
     for (rate, burst) in [(1.0, 1.0), (8.0, 8.0), (200.0, 200.0), (50.0, 5.0)] {
         let quota = QuotaLimit { rate, burst };
         let primary = LimiterParams { quota, bounds: BOUNDS, role: PRIMARY };
         let standby = LimiterParams { role: LimiterRole::Standby, ..primary };
-        let begun = Instant::now();
+        let started = Instant::now();
         advance(Duration::from_secs(60)).await;
         let mut limiters = [primary, standby]
-            .map(|params| (params, WorkspaceLimiter::new(begun, params, Instant::now())));
+            .map(|params| (params, WorkspaceLimiter::new(started, params, Instant::now())));
         let mut count = 0;
         let start = Instant::now();
         while start.elapsed() < BOUNDS.window {
@@ -357,10 +355,9 @@
     }
 }
 
-/// The other way keeps a small workspace's limit badly: an equal part of three requests a second is
-/// nothing whole at ninety instances, and rounded up it is many times the limit.
+/// Documents why equal shares do not suit small limits: a share below one request is rounded up.
 #[tokio::test(start_paused = true)]
-async fn equal_parts_of_a_small_limit_are_nothing_whole() {
+async fn equal_shares_of_a_small_limit_exceed_it() {
     const INSTANCES: usize = 90;
     let quota = QuotaLimit { rate: 3.0, burst: 3.0 };
     let mut shares: Vec<QuotaShare> =
@@ -373,10 +370,9 @@
     assert!(granted as f64 > bound, "{granted} at once of {bound}");
 }
 
-/// A workspace is named so that its name and a caller's id read like another workspace's with another
-/// id. Each has its own programs all the same.
+/// Guards against collisions of program names between workspaces.
 #[test]
-fn names_of_two_workspaces_never_meet() {
+fn program_names_of_different_workspaces_are_distinct() {
     let names = [("a", "b/c"), ("a/b", "c"), ("1:a", "b/c"), ("a/", "b/c"), ("", "a/b/c")];
     let owned = names.map(|(workspace, name)| owned_name(Some(&workspace.into()), name));
     let distinct: std::collections::BTreeSet<_> = owned.iter().collect();
