--- a/tests/quota_bound.rs
+++ b/tests/quota_bound.rs
@@ -1,8 +1,6 @@
-//! The bound of limits under failures: members that are killed, freeze, are cut into pieces or start all
-//! at once, each with its own late view of the others, limits that change, answers that are lost. An
-//! oracle that knows nothing of limiters counts what runs in each window.
+//! Checks that no window exceeds a workspace's limit under random faults.
 //!
-//! `QUOTA_CASES=4000 QUOTA_SEED=7 cargo test --release --test quota_bound` plays more of them.
+//! `QUOTA_CASES=4000 QUOTA_SEED=7 cargo test --release --test quota_bound` runs more cases.
 
 mod quota_world;
 
@@ -19,7 +17,7 @@
 }
 
 #[test]
-fn no_window_holds_more_than_its_limit() {
+fn no_window_exceeds_the_limit_under_random_faults() {
     let cases = setting("QUOTA_CASES", 60) as u32;
     let mut seed = [0; 32];
     seed[..8].copy_from_slice(&setting("QUOTA_SEED", 1).to_le_bytes());
@@ -37,11 +35,9 @@
     }
 }
 
-/// A cut heals while a limit that was raised meanwhile is asked six times over. The limiters of both sides
-/// learn of it one after the other; when each took the whole for its own at once, a window held more
-/// than its limit.
+/// Guards against limiters of both sides that grant the full limit before both detect the healed cut.
 #[test]
-fn a_cut_that_heals_gives_no_limit_twice() {
+fn healed_cut_does_not_grant_the_limit_twice() {
     let faults = vec![
         (11_541, Fault::Demand { times: 5.787369684772428 }),
         (2_121, Fault::Demand { times: 0.4379571283331053 }),
@@ -54,10 +50,9 @@
     assert!(world.excess() <= 0.0, "{}", world.excess());
 }
 
-/// All members are killed, and four seconds later again: twice all of them learn of each other one by
-/// one, and each takes itself for the limiter until it knows one that goes before it.
+/// Guards against members that each take themselves for the limiter while they discover the others.
 #[test]
-fn two_mass_starts_give_no_limit_twice() {
+fn two_mass_starts_do_not_grant_the_limit_twice() {
     let faults =
         vec![(4_061, Fault::KillAll { millis: 501 }), (8_141, Fault::KillAll { millis: 1_141 })];
     let plan = Plan { seed: 471020623002832157, members: 10, rate: 54.543044941915056, faults };
@@ -66,11 +61,10 @@
     assert!(world.excess() <= 0.0, "{}", world.excess());
 }
 
-/// All members start at once, and a second later one of them freezes for less than it notices itself: its
-/// deputies answer meanwhile, and its bucket has filled when it is back. With the whole margin shared out
-/// between limiter and deputy, a window held 3.3 requests too many.
+/// Guards against sharing the complete tolerance between primary and standby: after an undetected freeze
+/// both grant it in one window.
 #[test]
-fn a_short_freeze_after_a_mass_start_gives_no_limit_twice() {
+fn short_freeze_after_a_mass_start_does_not_grant_the_limit_twice() {
     let faults = vec![
         (14_321, Fault::KillAll { millis: 661 }),
         (9_861, Fault::Freeze { member: 4, millis: 1_181 }),
@@ -82,13 +76,12 @@
     assert!(world.excess() <= 0.0, "{}", world.excess());
 }
 
-/// A limiter freezes for less than it notices itself, under a flood. What it had let wait for its place runs
-/// when it is back, and so does what the others gave out: with waits of 0.5 s, and with these forgotten
-/// when it begins empty, a window held 2.8 and 5.2 requests too many.
+/// Guards against long or forgotten delays of permits: after an undetected freeze they run together with
+/// what other limiters granted.
 #[rstest::rstest]
 #[case(1340572543589073748, 5, 58.36743617360463, (17_781, 3, 601), (5_161, 6.317330522658538))]
 #[case(7204339313017429105, 7, 56.63610603315812, (2_021, 3, 761), (2_101, 5.53273562437088))]
-fn a_short_freeze_gives_no_limit_twice(
+fn short_freeze_under_a_flood_does_not_grant_the_limit_twice(
     #[case] seed: u64,
     #[case] members: usize,
     #[case] rate: f64,
@@ -101,10 +94,9 @@
     assert!(world.excess() <= 0.0, "{}", world.excess());
 }
 
-/// Without faults and below its limit a workspace is refused nothing, and far above it gets all that the
-/// limit allows.
+/// Guards against refusals below the limit and against grants far below it.
 #[test]
-fn a_calm_deployment_gives_out_the_whole_limit() {
+fn deployment_without_faults_grants_the_full_limit() {
     for demand in [0.6, 4.0] {
         let plan = Plan { seed: 3, members: 9, rate: 40.0, faults: Vec::new() };
         let mut world = World::new(plan);
@@ -118,10 +110,9 @@
     }
 }
 
-/// The role of a member that sees nobody is its part of the whole, and half of that while it has only
-/// just started.
+/// An isolated member must grant only its own share, and half of it during discovery.
 #[test]
-fn a_member_alone_has_its_part() {
+fn isolated_member_grants_its_share() {
     let me = vec![QuotaMember {
         instance: name(0),
         incarnation: 1,
