--- a/tests/quota_bound.rs
+++ b/tests/quota_bound.rs
@@ -9,7 +9,10 @@
 use merlinsaddle::core::quotas::{LimiterRole, LimiterStatus, QuotaMember, QuotaView};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use quota_world::{Fault, GIVE_BACK, LENGTH, LOST, Plan, World, name, plan};
+use quota_world::{
+    Fault, Plan, RELEASE_PROBABILITY, REPLY_LOSS_PROBABILITY, SIMULATION_DURATION, World, name,
+    plan,
+};
 use tokio::time::Instant;
 
 fn setting(name: &str, default: u64) -> u64 {
@@ -25,7 +28,7 @@
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &seed);
     let result = TestRunner::new_with_rng(config, rng).run(&plan(), |plan| {
         let mut world = World::new(plan);
-        world.play();
+        world.run();
         let excess = world.excess();
         prop_assert!(excess <= 0.0, "{excess} requests too many");
         Ok(())
@@ -46,7 +49,7 @@
     ];
     let plan = Plan { seed: 162946362993899408, members: 8, rate: 1.6289766802513315, faults };
     let mut world = World::new(plan);
-    world.play();
+    world.run();
     assert!(world.excess() <= 0.0, "{}", world.excess());
 }
 
@@ -57,7 +60,7 @@
         vec![(4_061, Fault::KillAll { millis: 501 }), (8_141, Fault::KillAll { millis: 1_141 })];
     let plan = Plan { seed: 471020623002832157, members: 10, rate: 54.543044941915056, faults };
     let mut world = World::new(plan);
-    world.play();
+    world.run();
     assert!(world.excess() <= 0.0, "{}", world.excess());
 }
 
@@ -72,7 +75,7 @@
     ];
     let plan = Plan { seed: 11821379867575202233, members: 5, rate: 44.65832826905294, faults };
     let mut world = World::new(plan);
-    world.play();
+    world.run();
     assert!(world.excess() <= 0.0, "{}", world.excess());
 }
 
@@ -90,7 +93,7 @@
 ) {
     let faults = vec![(at, Fault::Freeze { member, millis }), (later, Fault::Demand { times })];
     let mut world = World::new(Plan { seed, members, rate, faults });
-    world.play();
+    world.run();
     assert!(world.excess() <= 0.0, "{}", world.excess());
 }
 
@@ -101,10 +104,11 @@
         let plan = Plan { seed: 3, members: 9, rate: 40.0, faults: Vec::new() };
         let mut world = World::new(plan);
         world.demand = demand;
-        world.play();
+        world.run();
         let runs = world.runs.len() as f64;
-        let usable = world.asked as f64 * (1.0 - GIVE_BACK) * (1.0 - LOST);
-        let limit = 40.0 * LENGTH.as_secs_f64();
+        let usable =
+            world.requested as f64 * (1.0 - RELEASE_PROBABILITY) * (1.0 - REPLY_LOSS_PROBABILITY);
+        let limit = 40.0 * SIMULATION_DURATION.as_secs_f64();
         assert!(runs >= 0.97 * usable.min(limit), "{runs} of {usable} and {limit} at {demand}");
         assert!(world.excess() <= 0.0);
     }
--- a/tests/quota_world/mod.rs
+++ b/tests/quota_world/mod.rs
@@ -1,5 +1,5 @@
-//! A deployment in a model: members with late views of each other, faults, and an oracle that counts what
-//! runs and knows nothing of limiters.
+//! A model of a deployment with delayed member views, faults, and a check of each window's requests that
+//! does not depend on the limiters.
 
 use std::time::Duration;
 
@@ -15,20 +15,20 @@
 
 const BOUNDS: QuotaBounds = QuotaBounds { window: Duration::from_secs(5), over: 0.1, slack: 20.0 };
 const STEP: Duration = Duration::from_millis(20);
-pub const LENGTH: Duration = Duration::from_secs(25);
-/// A reply that was granted and is not used goes back within this time.
-pub const GIVE_BACK: f64 = 0.05;
-pub const LOST: f64 = 0.02;
-/// Longest pause that a process does not notice itself.
-const PAUSE: Duration = Duration::from_secs(1);
-/// Latest moment at which a lower limit counts, with the window that it begins.
-const CONFIG: Duration = Duration::from_secs(3);
-/// Longest time until a changed limit is known somewhere: a third of the bound is left to the window.
-const NEWS: Duration = Duration::from_millis(1_500);
+pub const SIMULATION_DURATION: Duration = Duration::from_secs(25);
+/// Probability that a permit is released unused.
+pub const RELEASE_PROBABILITY: f64 = 0.05;
+pub const REPLY_LOSS_PROBABILITY: f64 = 0.02;
+/// Shorter pauses are not detected by the process.
+const PAUSE_DETECTION_TIME: Duration = Duration::from_secs(1);
+/// A lowered limit is not enforced before this delay.
+const LOWERED_LIMIT_DELAY: Duration = Duration::from_secs(3);
+/// Maximum delay until a member applies a changed limit.
+const MAX_LIMIT_DELAY: Duration = Duration::from_millis(1_500);
 
 #[derive(Debug, Clone)]
 pub enum Fault {
-    /// Killed, and back after this many milliseconds, knowing nobody.
+    /// Restarts after this time without knowing the other members.
     Kill {
         member: usize,
         millis: u64,
@@ -68,9 +68,9 @@
 pub struct Plan {
     pub seed: u64,
     pub members: usize,
-    /// Requests a second of the limit at the start, and its burst.
+    /// Initial limit in requests per second, and its burst.
     pub rate: f64,
-    /// Moments in milliseconds from the start.
+    /// With their times in milliseconds from the start.
     pub faults: Vec<(u64, Fault)>,
 }
 
@@ -80,9 +80,9 @@
         .prop_map(|(seed, members, rate, faults)| Plan { seed, members, rate, faults })
 }
 
-/// What one member thinks of another, and what it will think next.
+/// One member's view of another, which follows reachability with a delay.
 #[derive(Debug, Clone, Copy)]
-struct Belief {
+struct PeerView {
     status: Option<LimiterStatus>,
     incarnation: u64,
     reachable: bool,
@@ -92,13 +92,13 @@
 struct Member {
     view: QuotaView,
     registry: LimiterRegistry,
-    beliefs: Vec<Belief>,
+    peers: Vec<PeerView>,
     down_until: Instant,
     frozen_until: Instant,
     was_frozen: Option<Instant>,
     was_down: bool,
-    /// Others have taken it for failed, and told it.
-    doubted: bool,
+    /// It has refuted a suspicion by others.
+    suspected: bool,
     incarnation: u64,
     quota: QuotaLimit,
 }
@@ -107,17 +107,17 @@
     plan: Plan,
     rng: SmallRng,
     now: Instant,
-    begun: Instant,
+    started: Instant,
     members: Vec<Member>,
     cut: (u16, Instant),
     quota: QuotaLimit,
-    /// Each limit with the moment of its change and those until which it is known where.
+    /// Each limit with the time of its change.
     limits: Vec<(Instant, QuotaLimit)>,
     /// Demand as a multiple of the limit.
     pub demand: f64,
     pub runs: Vec<Instant>,
     next_id: u64,
-    pub asked: u64,
+    pub requested: u64,
 }
 
 pub fn name(member: usize) -> Box<str> {
@@ -132,8 +132,8 @@
         let member = |me: usize| Member {
             view: QuotaView::new(name(me), Vec::new(), count, now),
             registry: LimiterRegistry::new(BOUNDS, true, now),
-            beliefs: vec![
-                Belief {
+            peers: vec![
+                PeerView {
                     status: Some(LimiterStatus::Alive),
                     incarnation: 1,
                     reachable: true,
@@ -145,14 +145,14 @@
             frozen_until: now,
             was_frozen: None,
             was_down: false,
-            doubted: false,
+            suspected: false,
             incarnation: 1,
             quota,
         };
         Self {
             rng: SmallRng::seed_from_u64(plan.seed),
             now,
-            begun: now,
+            started: now,
             members: (0..count).map(member).collect(),
             cut: (0, now),
             quota,
@@ -160,12 +160,12 @@
             demand: 6.0,
             runs: Vec::new(),
             next_id: 0,
-            asked: 0,
+            requested: 0,
             plan,
         }
     }
 
-    fn runs_now(&self, member: usize) -> bool {
+    fn is_running(&self, member: usize) -> bool {
         let member = &self.members[member];
         self.now >= member.down_until && self.now >= member.frozen_until
     }
@@ -173,14 +173,14 @@
     fn reaches(&self, from: usize, to: usize) -> bool {
         let side = |member: usize| (self.cut.0 >> member) & 1;
         let cut = self.now < self.cut.1 && side(from) != side(to);
-        self.runs_now(to) && !cut
+        self.is_running(to) && !cut
     }
 
-    fn delay(&mut self, least: f64, most: f64) -> Duration {
-        Duration::from_secs_f64(self.rng.random_range(least..most))
+    fn delay(&mut self, min_secs: f64, max_secs: f64) -> Duration {
+        Duration::from_secs_f64(self.rng.random_range(min_secs..max_secs))
     }
 
-    fn strike(&mut self, fault: Fault) {
+    fn inject(&mut self, fault: Fault) {
         let after = |millis| self.now + Duration::from_millis(millis);
         match fault {
             Fault::Kill { member, millis } => {
@@ -211,41 +211,41 @@
         }
     }
 
-    /// Whoever is back knows itself only, or forgets what it gave out.
-    fn wake(&mut self, me: usize) {
+    /// Applies the effects of a restart, a suspicion or a detected pause.
+    fn resume(&mut self, me: usize) {
         let now = self.now;
         if std::mem::take(&mut self.members[me].was_down) {
             self.members[me].was_frozen = None;
             self.members[me].incarnation += 1;
             self.members[me].registry = LimiterRegistry::new(BOUNDS, true, now);
             for other in 0..self.members.len() {
-                let learned = now + self.delay(0.05, 1.5);
+                let discovered = now + self.delay(0.05, 1.5);
                 let status = (other == me).then_some(LimiterStatus::Alive);
-                self.members[me].beliefs[other] =
-                    Belief { status, incarnation: 0, reachable: true, next: learned };
+                self.members[me].peers[other] =
+                    PeerView { status, incarnation: 0, reachable: true, next: discovered };
             }
             let count = self.members.len();
             self.members[me].view = QuotaView::new(name(me), Vec::new(), count, now);
         }
-        if std::mem::take(&mut self.members[me].doubted) {
+        if std::mem::take(&mut self.members[me].suspected) {
             self.members[me].registry.restart(now);
         }
         if let Some(since) = self.members[me].was_frozen.take()
-            && now - since >= PAUSE
+            && now - since >= PAUSE_DETECTION_TIME
         {
             self.members[me].registry.restart(now);
         }
     }
 
-    /// Follows who can be reached, late.
-    fn believe(&mut self, me: usize) {
+    /// Updates the views of other members, with delays.
+    fn update_view(&mut self, me: usize) {
         use LimiterStatus::{Alive, Gone, Suspect};
         for other in (0..self.members.len()).filter(|other| *other != me) {
             let reachable = self.reaches(me, other);
-            let before = self.members[me].beliefs[other];
+            let before = self.members[me].peers[other];
             if before.reachable != reachable {
                 let next = self.now + self.delay(0.1, 1.0);
-                self.members[me].beliefs[other] = Belief { reachable, next, ..before };
+                self.members[me].peers[other] = PeerView { reachable, next, ..before };
                 continue;
             }
             if self.now < before.next {
@@ -264,15 +264,15 @@
             };
             let back = status == Some(Alive) && matches!(before.status, Some(Suspect | Gone));
             if back && incarnation == before.incarnation {
-                // It hears that it was taken for failed, refutes that, and forgets what it gave out.
-                self.members[other].doubted = true;
+                // It refutes the suspicion and restarts its limiters.
+                self.members[other].suspected = true;
             }
-            self.members[me].beliefs[other] = Belief { status, incarnation, reachable, next };
+            self.members[me].peers[other] = PeerView { status, incarnation, reachable, next };
         }
-        let known = self.members[me].beliefs.iter().enumerate().filter_map(|(other, belief)| {
+        let known = self.members[me].peers.iter().enumerate().filter_map(|(other, peer)| {
             let (instance, address) = (name(other), name(other));
-            let incarnation = belief.incarnation;
-            Some(QuotaMember { instance, incarnation, address, status: belief.status? })
+            let incarnation = peer.incarnation;
+            Some(QuotaMember { instance, incarnation, address, status: peer.status? })
         });
         let known = known.collect();
         let (count, now) = (self.members.len(), self.now);
@@ -282,16 +282,17 @@
         registry.tick(view, now);
     }
 
-    /// One request at a member.
     fn request(&mut self, me: usize, workspace: &WorkspaceId) {
         self.next_id += 1;
-        self.asked += 1;
+        self.requested += 1;
         let id = self.next_id;
         let ask = QuotaRequest { is_first: self.rng.random_bool(0.08) };
-        let asked = self.members[me].view.candidates(workspace).map(|member| {
-            member.map(|member| member.instance[1..].parse::<usize>().expect("a number"))
+        let requested = self.members[me].view.candidates(workspace).map(|member| {
+            member.map(|member| {
+                member.instance[1..].parse::<usize>().expect("instance names end with a number")
+            })
         });
-        for target in asked.into_iter().flatten() {
+        for target in requested.into_iter().flatten() {
             if target != me && !self.reaches(me, target) {
                 continue;
             }
@@ -299,11 +300,11 @@
             let Member { view, registry, quota, .. } = &mut self.members[target];
             let request = LimiterRequest { id, workspace, quota_request: ask, quota: *quota };
             let (reply, is_primary) = registry.decide(request, view, now);
-            if self.rng.random_bool(LOST) {
+            if self.rng.random_bool(REPLY_LOSS_PROBABILITY) {
                 continue;
             }
             match reply {
-                QuotaReply::Granted { .. } if self.rng.random_bool(GIVE_BACK) => {
+                QuotaReply::Granted { .. } if self.rng.random_bool(RELEASE_PROBABILITY) => {
                     self.members[target].registry.release(workspace, ask, now);
                     return;
                 }
@@ -317,32 +318,32 @@
         }
     }
 
-    pub fn play(&mut self) {
+    pub fn run(&mut self) {
         let workspace: Box<str> = "acme".into();
         let mut faults = self.plan.faults.clone();
         faults.sort_by_key(|(at, _)| *at);
         let mut faults = faults.into_iter().peekable();
-        while self.now - self.begun < LENGTH {
-            let elapsed = (self.now - self.begun).as_millis() as u64;
+        while self.now - self.started < SIMULATION_DURATION {
+            let elapsed = (self.now - self.started).as_millis() as u64;
             while let Some((_, fault)) = faults.next_if(|(at, _)| *at <= elapsed) {
-                self.strike(fault);
+                self.inject(fault);
             }
             for me in 0..self.members.len() {
-                if !self.runs_now(me) {
+                if !self.is_running(me) {
                     continue;
                 }
-                self.wake(me);
-                self.believe(me);
-                // A changed limit is known everywhere within its time, here sooner, there later.
-                let late = NEWS.mul_f64((me + 1) as f64 / self.members.len() as f64);
-                let known = self.limits.iter().rev().find(|(at, _)| self.now - *at >= late);
+                self.resume(me);
+                self.update_view(me);
+                // Members apply a changed limit at different times.
+                let delay = MAX_LIMIT_DELAY.mul_f64((me + 1) as f64 / self.members.len() as f64);
+                let known = self.limits.iter().rev().find(|(at, _)| self.now - *at >= delay);
                 self.members[me].quota = known.map_or(self.limits[0].1, |(_, quota)| *quota);
             }
             let rate = self.quota.rate.max(5.0) * self.demand;
             let mut due = rate * STEP.as_secs_f64();
             while due > 0.0 {
                 let me = self.rng.random_range(0..self.members.len());
-                if self.rng.random_bool(due.min(1.0)) && self.runs_now(me) {
+                if self.rng.random_bool(due.min(1.0)) && self.is_running(me) {
                     self.request(me, &workspace);
                 }
                 due -= 1.0;
@@ -351,13 +352,13 @@
         }
     }
 
-    /// The limit that binds in a window: the highest that was in force in it or shortly before.
-    fn binding(&self, from: Instant) -> QuotaLimit {
+    /// The highest limit in force during a window or shortly before it.
+    fn binding_limit(&self, from: Instant) -> QuotaLimit {
         let until = from + BOUNDS.window;
         let mut highest = self.limits[0].1;
         highest.rate = 0.0;
         for (number, (at, quota)) in self.limits.iter().enumerate() {
-            let ended = self.limits.get(number + 1).map(|(next, _)| *next + CONFIG);
+            let ended = self.limits.get(number + 1).map(|(next, _)| *next + LOWERED_LIMIT_DELAY);
             let binds = *at <= until && ended.is_none_or(|ended| ended > from);
             if binds && quota.rate > highest.rate {
                 highest = *quota;
@@ -366,7 +367,7 @@
         highest
     }
 
-    /// Most requests that ran in a window beyond what is allowed there.
+    /// Maximum number of requests in any window beyond its bound; negative if none exceeds it.
     pub fn excess(&mut self) -> f64 {
         self.runs.sort();
         let mut worst = f64::MIN;
@@ -375,7 +376,7 @@
             while end < self.runs.len() && self.runs[end] < *from + BOUNDS.window {
                 end += 1;
             }
-            let quota = self.binding(*from);
+            let quota = self.binding_limit(*from);
             let bound = BOUNDS.limit(quota) + BOUNDS.tolerance(quota);
             worst = worst.max((end - start) as f64 - bound);
         }
