--- a/src/core/members/dissemination.rs
+++ b/src/core/members/dissemination.rs
@@ -8,8 +8,8 @@
 use crate::core::ids::ConfigVersion;
 use crate::core::timeline::CausalStamp;
 
-/// An update is sent this many times for each decimal digit of the member count. A lower value loses
-/// refutations on lossy networks; a higher one fills all datagrams after a mass restart.
+/// An update is sent this many times for each decimal digit of the member count. A lower value
+/// loses refutations on lossy networks; a higher one fills all datagrams after a mass restart.
 const RETRANSMIT_FACTOR: u32 = 5;
 const MIN_RETRANSMITS: u32 = 16;
 /// Send count of an entry that is never forwarded.
@@ -52,8 +52,8 @@
                 }
                 return Vec::new();
             }
-            // Kept so that an outdated update does not make the member alive again here. Not forwarded:
-            // joining members would pass it to each other and never forget it.
+            // Kept so that an outdated update does not make the member alive again here. Not
+            // forwarded: joining members would pass it to each other and never forget it.
             None if update.state == MemberState::Dead => {
                 let entry = MemberEntry { info: update.clone(), since: now, sent: NOT_FORWARDED };
                 self.members.insert(update.instance.clone(), entry);
--- a/src/core/members/groups.rs
+++ b/src/core/members/groups.rs
@@ -24,7 +24,8 @@
     ranked.into_iter().map(|(_, member)| member).collect()
 }
 
-/// Picks a member for a key by rendezvous hashing: when members join or leave, only their keys move.
+/// Picks a member for a key by rendezvous hashing: when members join or leave, only their keys
+/// move.
 pub fn preferred_member<'a>(
     key: &str,
     members: impl IntoIterator<Item = &'a str>,
--- a/src/core/members/mod.rs
+++ b/src/core/members/mod.rs
@@ -1,5 +1,5 @@
-//! Membership of a zone's instances by a gossip protocol with indirect probes and suspicion, and the
-//! choice of leaders among them.
+//! Membership of a zone's instances by a gossip protocol with indirect probes and suspicion, and
+//! the choice of leaders among them.
 
 mod dissemination;
 mod groups;
--- a/src/core/members/table.rs
+++ b/src/core/members/table.rs
@@ -234,8 +234,8 @@
         actions
     }
 
-    /// After a pause of this process every ack is overdue and every suspicion expired; without a reset
-    /// it would declare its peers dead.
+    /// After a pause of this process every ack is overdue and every suspicion expired; without a
+    /// reset it would declare its peers dead.
     fn reset_after_pause(&mut self, now: Instant) {
         let limit = self.settings.probe_interval * PAUSE_FACTOR;
         let paused = self.last_tick.is_some_and(|last| now - last > limit);
@@ -288,8 +288,8 @@
         let Some(entry) = self.members.get_mut(&round.target) else { return Vec::new() };
         match entry.info.state {
             MemberState::Alive => entry.info.state = MemberState::Suspect,
-            // A leaving member still finishes calls, which it would lose if one lost datagram made it
-            // dead.
+            // A leaving member still finishes calls, which it would lose if one lost datagram made
+            // it dead.
             MemberState::Leaving => entry.info.state = MemberState::LeavingSuspect,
             MemberState::Suspect | MemberState::LeavingSuspect | MemberState::Dead => {
                 return Vec::new();
--- a/src/core/quotas/limiter.rs
+++ b/src/core/quotas/limiter.rs
@@ -8,8 +8,8 @@
 use super::bucket::{BucketParams, TokenBucket};
 use super::{MAX_PERMIT_DELAY, QuotaBounds, QuotaLimit, QuotaReply};
 
-/// Share of the tolerance that the primary uses. What it and the standby leave is a reserve for the time
-/// after a mass start, in which members disagree about the primary.
+/// Share of the tolerance that the primary uses. What it and the standby leave is a reserve for the
+/// time after a mass start, in which members disagree about the primary.
 const PRIMARY_TOLERANCE_SHARE: f64 = 0.4;
 /// Share of the tolerance that a standby holds as its burst, and grants once more in each window.
 const STANDBY_TOLERANCE_SHARE: f64 = 0.2;
@@ -20,11 +20,11 @@
 /// Weight of the prior, in programs.
 const PRIOR_PROGRAM_COUNT: f64 = 4.0;
 const PROGRAM_REQUESTS_DECAY: Duration = Duration::from_secs(20);
-/// Share of the rate that new programs may claim. The rest absorbs programs longer than the mean, so
-/// that running ones are not refused.
+/// Share of the rate that new programs may claim. The rest absorbs programs longer than the mean,
+/// so that running ones are not refused.
 const PROGRAM_RATE_SHARE: f64 = 0.9;
-/// Share of the bucket's capacity below which new programs are limited by their expected requests. Above
-/// it that would refuse programs of a workspace that stays below its limit.
+/// Share of the bucket's capacity below which new programs are limited by their expected requests.
+/// Above it that would refuse programs of a workspace that stays below its limit.
 const LOW_LEVEL_SHARE: f64 = 0.85;
 /// Programs that may start at once even if the limit is small.
 const MIN_PROGRAM_BURST: f64 = 3.0;
@@ -35,8 +35,8 @@
 /// The role of an instance in limiting a workspace.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LimiterRole {
-    /// Grants the limit times `share`, the fraction of the known members that it sees alive: each side
-    /// of a network partition has a primary, and their shares add up to one.
+    /// Grants the limit times `share`, the fraction of the known members that it sees alive: each
+    /// side of a network partition has a primary, and their shares add up to one.
     Primary { share: f64 },
     /// Answers members that do not reach the primary. It grants part of the tolerance only, as the
     /// primary may still be running.
@@ -128,8 +128,8 @@
     }
 }
 
-/// Spaces the retries of refused requests at the rate of the bucket, so that they do not return all at
-/// once.
+/// Spaces the retries of refused requests at the rate of the bucket, so that they do not return all
+/// at once.
 #[derive(Debug, Clone, Copy)]
 struct RetryQueue {
     next: Instant,
@@ -148,7 +148,8 @@
 
 /// Limits the requests of one workspace, and its new programs so that all their requests fit.
 ///
-/// A program that is refused halfway has wasted its earlier requests, so new programs are refused first.
+/// A program that is refused halfway has wasted its earlier requests, so new programs are refused
+/// first.
 #[derive(Debug, Clone)]
 pub struct WorkspaceLimiter {
     calls: TokenBucket,
@@ -193,8 +194,8 @@
         }
         let Some(after) = self.calls.take(1.0, calls, MAX_PERMIT_DELAY) else {
             self.refused += 1;
-            // Refused requests count too: otherwise refusals lower the estimate, and too many programs
-            // are let in.
+            // Refused requests count too: otherwise refusals lower the estimate, and too many
+            // programs are let in.
             if !request.is_first {
                 self.size.observe(false, now);
             }
--- a/src/core/quotas/mod.rs
+++ b/src/core/quotas/mod.rs
@@ -1,8 +1,8 @@
-//! Rate limits of workspaces over all instances. Each workspace has one [`limiter`] among the members,
-//! which all instances ask before they forward a request.
+//! Rate limits of workspaces over all instances. Each workspace has one [`limiter`] among the
+//! members, which all instances ask before they forward a request.
 //!
-//! Limiters store nothing: a member that takes over starts with an empty bucket. [`share`] limits without
-//! messages instead.
+//! Limiters store nothing: a member that takes over starts with an empty bucket. [`share`] limits
+//! without messages instead.
 
 mod bucket;
 mod limiter;
--- a/src/core/quotas/registry.rs
+++ b/src/core/quotas/registry.rs
@@ -14,10 +14,11 @@
 /// Random; the same for each repetition of a request.
 pub type QuotaRequestId = u64;
 
-/// Replies are kept so that a repeated request is not counted twice. Longer than any member repeats one.
+/// Replies are kept so that a repeated request is not counted twice. Longer than any member repeats
+/// one.
 const REPLY_RETENTION: Duration = Duration::from_secs(1);
-/// A limiter that has taken over grants half of its share for this time: after a network partition both
-/// sides overestimate their shares until they have detected which members are lost.
+/// A limiter that has taken over grants half of its share for this time: after a network partition
+/// both sides overestimate their shares until they have detected which members are lost.
 const TAKEOVER_DURATION: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -93,8 +94,8 @@
         }
     }
 
-    /// Empties all buckets after a pause of the process. Another member has taken over meanwhile, so
-    /// bursts that accumulated here would be granted twice.
+    /// Empties all buckets after a pause of the process. Another member has taken over meanwhile,
+    /// so bursts that accumulated here would be granted twice.
     pub fn restart(&mut self, now: Instant) {
         self.since = now;
         self.replies.clear();
@@ -166,8 +167,8 @@
         self.replies.retain(|_, (at, _)| now.saturating_duration_since(*at) < REPLY_RETENTION);
     }
 
-    /// Drops the limiters of workspaces that another member limits now. If they return they start empty,
-    /// as the other member has granted the limit meanwhile.
+    /// Drops the limiters of workspaces that another member limits now. If they return they start
+    /// empty, as the other member has granted the limit meanwhile.
     fn drop_transferred(&mut self, view: &QuotaView, now: Instant) {
         if self.view_changed == Some(view.changed()) {
             return;
--- a/src/core/quotas/share.rs
+++ b/src/core/quotas/share.rs
@@ -25,8 +25,8 @@
     ) -> QuotaReply {
         let share = 1.0 / instances.max(1) as f64;
         let rate = limit.rate * (1.0 + bounds.over) * share;
-        // A capacity below one would grant nothing. The rounding lets the sum of all shares exceed the
-        // limit.
+        // A capacity below one would grant nothing. The rounding lets the sum of all shares exceed
+        // the limit.
         let capacity = ((limit.burst * (1.0 + bounds.over) + bounds.slack) * share).max(1.0);
         let params = BucketParams { rate, capacity };
         self.bucket.refill(params, now);
--- a/src/core/quotas/view.rs
+++ b/src/core/quotas/view.rs
@@ -50,16 +50,17 @@
 
 /// Longer than it takes a limiter that has taken over to fill its bucket.
 const LOST_MEMBER_RETENTION: Duration = Duration::from_secs(60);
-/// For this time after its start an instance that does not know all members grants less: after a mass
-/// start several instances take themselves for the limiter or its standby of one workspace.
+/// For this time after its start an instance that does not know all members grants less: after a
+/// mass start several instances take themselves for the limiter or its standby of one workspace.
 const DISCOVERY_DURATION: Duration = Duration::from_secs(2);
-/// Returned members do not count towards the share for this time. The limiters on both sides of a healed
-/// network partition detect it at different times, and would both grant the full limit in between.
+/// Returned members do not count towards the share for this time. The limiters on both sides of a
+/// healed network partition detect it at different times, and would both grant the full limit in
+/// between.
 const REJOIN_DURATION: Duration = Duration::from_secs(2);
 
 impl QuotaView {
-    /// `min_members` is a stored member count. Without it an instance that has just started knows only
-    /// itself, and would grant the full limit.
+    /// `min_members` is a stored member count. Without it an instance that has just started knows
+    /// only itself, and would grant the full limit.
     pub fn new(
         me: InstanceId,
         members: Vec<QuotaMember>,
@@ -100,8 +101,8 @@
         self.changed
     }
 
-    /// Time at which this instance lost the last member that ranks higher for the workspace; none if
-    /// there was none.
+    /// Time at which this instance lost the last member that ranks higher for the workspace; none
+    /// if there was none.
     pub fn taken_over(&self, workspace: &str) -> Option<Instant> {
         let own = weight(workspace, &self.me);
         let before = self.lost.iter().filter(|other| weight(workspace, &other.instance) > own);
--- a/tests/member_deaths.rs
+++ b/tests/member_deaths.rs
@@ -33,22 +33,22 @@
     }
 }
 
-/// A joining member must not route callers to a dead member because of an outdated update, but must accept
-/// a new incarnation.
+/// A joining member must not route callers to a dead member because of an outdated update, but must
+/// accept a new incarnation.
 #[tokio::test(start_paused = true)]
 async fn outdated_update_does_not_revive_a_dead_member() {
     let me = info("me", 1, MemberState::Alive);
     let mut table = MemberTable::new(MemberSettings::default(), me, 7, Instant::now());
-    let state = |table: &MemberTable| table.get("failed").map(|member| member.state);
-    table.receive(&message(vec![info("failed", 5, MemberState::Dead)]), Instant::now());
-    table.receive(&message(vec![info("failed", 5, MemberState::Alive)]), Instant::now());
+    let state = |table: &MemberTable| table.get("gone").map(|member| member.state);
+    table.receive(&message(vec![info("gone", 5, MemberState::Dead)]), Instant::now());
+    table.receive(&message(vec![info("gone", 5, MemberState::Alive)]), Instant::now());
     assert_eq!(state(&table), Some(MemberState::Dead));
     // Not forwarded, not even to joining members, which would pass it on for ever.
     let mut join = message(Vec::new());
     join.body = GossipBody::Join;
     let reply = table.receive(&join, Instant::now());
     let sent = format!("{reply:?}{:?}", table.tick(Instant::now()));
-    assert!(sent.contains("me:3") && !sent.contains("failed"), "{sent}");
-    table.receive(&message(vec![info("failed", 6, MemberState::Alive)]), Instant::now());
+    assert!(sent.contains("me:3") && !sent.contains("gone"), "{sent}");
+    table.receive(&message(vec![info("gone", 6, MemberState::Alive)]), Instant::now());
     assert_eq!(state(&table), Some(MemberState::Alive));
 }
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -1,5 +1,5 @@
-//! Simulations of the membership protocol: many member tables exchange encoded datagrams on a virtual
-//! clock.
+//! Simulations of the membership protocol: many member tables exchange encoded datagrams on a
+//! virtual clock.
 
 mod support;
 
@@ -72,8 +72,8 @@
     assert_eq!(run(nodes, 10, MemberDisturbance::OneWayCut).false_deaths, 0);
 }
 
-/// The halves declare each other dead and stop probing; afterwards they must rejoin through the roster's
-/// addresses.
+/// The halves declare each other dead and stop probing; afterwards they must rejoin through the
+/// roster's addresses.
 #[rstest]
 fn partitioned_halves_rejoin_after_the_cut(#[values(4, 30)] nodes: usize) {
     let report = run(nodes, 0, MemberDisturbance::Split(Duration::from_secs(20)));
@@ -81,7 +81,8 @@
     assert!(report.recovery < Duration::from_secs(35));
 }
 
-/// Guards against fencing when two of three instances cannot reach each other but the third reaches both.
+/// Guards against fencing when two of three instances cannot reach each other but the third reaches
+/// both.
 #[test]
 fn instance_unreachable_for_one_peer_keeps_its_shards() {
     run_paused(async {
--- a/tests/quota_bound.rs
+++ b/tests/quota_bound.rs
@@ -38,7 +38,8 @@
     }
 }
 
-/// Guards against limiters of both sides that grant the full limit before both detect the healed cut.
+/// Guards against limiters of both sides that grant the full limit before both detect the healed
+/// cut.
 #[test]
 fn healed_cut_does_not_grant_the_limit_twice() {
     let faults = vec![
@@ -64,8 +65,8 @@
     assert!(world.excess() <= 0.0, "{}", world.excess());
 }
 
-/// Guards against sharing the complete tolerance between primary and standby: after an undetected freeze
-/// both grant it in one window.
+/// Guards against sharing the complete tolerance between primary and standby: after an undetected
+/// freeze both grant it in one window.
 #[test]
 fn short_freeze_after_a_mass_start_does_not_grant_the_limit_twice() {
     let faults = vec![
@@ -79,8 +80,8 @@
     assert!(world.excess() <= 0.0, "{}", world.excess());
 }
 
-/// Guards against long or forgotten delays of permits: after an undetected freeze they run together with
-/// what other limiters granted.
+/// Guards against long or forgotten delays of permits: after an undetected freeze they run together
+/// with what other limiters granted.
 #[rstest::rstest]
 #[case(1340572543589073748, 5, 58.36743617360463, (17_781, 3, 601), (5_161, 6.317330522658538))]
 #[case(7204339313017429105, 7, 56.63610603315812, (2_021, 3, 761), (2_101, 5.53273562437088))]
--- a/tests/quota_limits.rs
+++ b/tests/quota_limits.rs
@@ -78,8 +78,8 @@
     assert_eq!(returns, [300, 400, 500, 600, 700, 800]);
 }
 
-/// At twice the limit, admission by program must let started programs complete, also when they send more
-/// requests than assumed; admission by call is the reference that does not.
+/// At twice the limit, admission by program must let started programs complete, also when they send
+/// more requests than assumed; admission by call is the reference that does not.
 #[rstest]
 #[case::by_program(12, true, 0.9, 1.0)]
 #[case::by_long_program(40, true, 0.9, 1.0)]
@@ -94,7 +94,8 @@
     let rate = 2.0 * f64::from(requests);
     let params = limiter_params(rate, rate, STRICT);
     let mut limiter = WorkspaceLimiter::new(Instant::now(), params, Instant::now());
-    // Per entry: due time of a program's next request, its number, and the step of the first request.
+    // Per entry: due time of a program's next request, its number, and the step of the first
+    // request.
     let mut due: Vec<(Instant, u32, u32)> = Vec::new();
     let (mut started, mut ended) = (0, 0);
     for step in 0..6_000_u32 {
@@ -190,7 +191,8 @@
     assert!((alone - 1.0).abs() < 1e-9, "{alone}");
 }
 
-/// An instance that does not know all members yet must grant half of its share, and nothing as a standby.
+/// An instance that does not know all members yet must grant half of its share, and nothing as a
+/// standby.
 #[tokio::test(start_paused = true)]
 async fn started_instance_grants_less_during_discovery() {
     use LimiterStatus::Alive;
@@ -264,8 +266,8 @@
     assert!(!is_granted(reply));
 }
 
-/// Guards against granting a burst twice when a limiter takes over again from a member that returned
-/// in between.
+/// Guards against granting a burst twice when a limiter takes over again from a member that
+/// returned in between.
 #[tokio::test(start_paused = true)]
 async fn limiter_that_takes_over_again_starts_empty() {
     use LimiterStatus::{Alive, Gone};
--- a/tests/quota_world/mod.rs
+++ b/tests/quota_world/mod.rs
@@ -1,5 +1,5 @@
-//! A model of a deployment with delayed member views, faults, and a check of each window's requests that
-//! does not depend on the limiters.
+//! A model of a deployment with delayed member views, faults, and a check of each window's requests
+//! that does not depend on the limiters.
 
 use std::time::Duration;
 
