--- a/src/bench/workspace_cores.rs
+++ b/src/bench/workspace_cores.rs
@@ -72,7 +72,7 @@
     for id in 0..OPERATIONS {
         let workspace = &names[id % names.len()];
         black_box(view.candidates(workspace));
-        let ask = QuotaRequest { is_first: id % 12 == 0 };
+        let ask = QuotaRequest { opens: id % 12 == 0 };
         let question = LimiterRequest { id: id as u64, workspace, quota_request: ask, quota };
         black_box(registry.decide(question, &view, now));
     }
--- a/src/core/quotas/limiter.rs
+++ b/src/core/quotas/limiter.rs
@@ -90,9 +90,8 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaRequest {
-    /// The first request of a program is decided for all requests of the program.
-    #[serde(rename = "opens")]
-    pub is_first: bool,
+    /// Set for the first request of a program, which is decided for all of its requests.
+    pub opens: bool,
 }
 
 /// Estimates the requests per program from decaying counts.
@@ -186,7 +185,7 @@
         self.programs.refill(programs, now);
         let program_wait = self.programs.wait(size, programs);
         let is_low = self.calls.level() < LOW_LEVEL_SHARE * calls.capacity;
-        if request.is_first && by_program && is_low && program_wait > MAX_PERMIT_DELAY {
+        if request.opens && by_program && is_low && program_wait > MAX_PERMIT_DELAY {
             self.refused += 1;
             let step = programs.fill_time(size);
             let retry_after = self.program_retries.schedule(program_wait, step, now);
@@ -196,26 +195,26 @@
             self.refused += 1;
             // Refused requests count too: otherwise refusals lower the estimate, and too many
             // programs are let in.
-            if !request.is_first {
+            if !request.opens {
                 self.size.observe(false, now);
             }
             let step = calls.fill_time(1.0);
             let retry_after = self.call_retries.schedule(self.calls.wait(1.0, calls), step, now);
             return QuotaReply::Refused { retry_after };
         };
-        if request.is_first {
+        if request.opens {
             self.programs.charge(size, programs);
         }
-        self.size.observe(request.is_first, now);
+        self.size.observe(request.opens, now);
         QuotaReply::Granted { after }
     }
 
     /// Returns a permit that was granted and not used.
     pub fn release(&mut self, request: QuotaRequest, params: LimiterParams) {
         // Retracted first, as the charge was computed before the request was observed.
-        self.size.retract(request.is_first);
+        self.size.retract(request.opens);
         self.calls.refund(1.0, params.call_bucket());
-        if request.is_first {
+        if request.opens {
             let size = self.size.mean();
             self.programs.refund(size, params.program_bucket(size));
         }
--- a/src/gateway/call/quota.rs
+++ b/src/gateway/call/quota.rs
@@ -39,7 +39,7 @@
         };
         // Whether a turn without a history is its program's first is known to the coordinator alone.
         let opens = call.scope == Some(TurnScope::History) && call.head.previous.is_none();
-        let ask = QuotaRequest { is_first: opens };
+        let ask = QuotaRequest { opens };
         let asked = quotas.ask(&workspace.name, quota, ask);
         let outcome = timeout_at(call.deadline, asked)
             .await
@@ -60,7 +60,7 @@
             call.id,
             workspace.name,
             refusal.reason,
-            ask.is_first,
+            ask.opens,
             quota.rate,
             quota.burst,
             retry_after.as_millis(),
--- a/src/gateway/quotas/asker_tests.rs
+++ b/src/gateway/quotas/asker_tests.rs
@@ -18,7 +18,7 @@
 
 const BOUNDS: QuotaBounds = QuotaBounds { window: Duration::from_secs(5), over: 0.0, slack: 0.0 };
 const QUOTA: QuotaLimit = QuotaLimit { rate: 10.0, burst: 100.0 };
-const CALL: QuotaRequest = QuotaRequest { is_first: false };
+const CALL: QuotaRequest = QuotaRequest { opens: false };
 
 /// Members without a network: what is sent is kept.
 struct FakePeers {
--- a/tests/quota_limits.rs
+++ b/tests/quota_limits.rs
@@ -15,8 +15,8 @@
 const BOUNDS: QuotaBounds = QuotaBounds { window: Duration::from_secs(5), over: 0.1, slack: 20.0 };
 const STRICT: QuotaBounds = QuotaBounds { window: Duration::from_secs(5), over: 0.0, slack: 0.0 };
 const PRIMARY: LimiterRole = LimiterRole::Primary { share: 1.0 };
-const CALL: QuotaRequest = QuotaRequest { is_first: false };
-const FIRST: QuotaRequest = QuotaRequest { is_first: true };
+const CALL: QuotaRequest = QuotaRequest { opens: false };
+const FIRST: QuotaRequest = QuotaRequest { opens: true };
 
 fn limiter_params(rate: f64, burst: f64, bounds: QuotaBounds) -> LimiterParams {
     LimiterParams { quota: QuotaLimit { rate, burst }, bounds, role: PRIMARY }
@@ -108,7 +108,7 @@
         for (_, number, since) in ready {
             // The first programs only train the estimate.
             let counts = u32::from(since >= 2_000);
-            let ask = QuotaRequest { is_first: number == 0 };
+            let ask = QuotaRequest { opens: number == 0 };
             match limiter.decide(ask, params, by_program, now) {
                 QuotaReply::Granted { .. } => {
                     started += counts * u32::from(number == 0);
--- a/tests/quota_world/mod.rs
+++ b/tests/quota_world/mod.rs
@@ -286,7 +286,7 @@
         self.next_id += 1;
         self.requested += 1;
         let id = self.next_id;
-        let ask = QuotaRequest { is_first: self.rng.random_bool(0.08) };
+        let ask = QuotaRequest { opens: self.rng.random_bool(0.08) };
         let requested = self.members[me].view.candidates(workspace).map(|member| {
             member.map(|member| {
                 member.instance[1..].parse::<usize>().expect("instance names end with a number")
