--- a/tests/quota_world/mod.rs
+++ b/tests/quota_world/mod.rs
@@ -286,26 +286,26 @@
         self.next_id += 1;
         self.requested += 1;
         let id = self.next_id;
-        let ask = QuotaRequest { opens: self.rng.random_bool(0.08) };
-        let requested = self.members[me].view.candidates(workspace).map(|member| {
+        let quota_request = QuotaRequest { opens: self.rng.random_bool(0.08) };
+        let candidates = self.members[me].view.candidates(workspace).map(|member| {
             member.map(|member| {
                 member.instance[1..].parse::<usize>().expect("instance names end with a number")
             })
         });
-        for target in requested.into_iter().flatten() {
+        for target in candidates.into_iter().flatten() {
             if target != me && !self.reaches(me, target) {
                 continue;
             }
             let now = self.now;
             let Member { view, registry, quota, .. } = &mut self.members[target];
-            let request = LimiterRequest { id, workspace, quota_request: ask, quota: *quota };
+            let request = LimiterRequest { id, workspace, quota_request, quota: *quota };
             let (reply, is_primary) = registry.decide(request, view, now);
             if self.rng.random_bool(REPLY_LOSS_PROBABILITY) {
                 continue;
             }
             match reply {
                 QuotaReply::Granted { .. } if self.rng.random_bool(RELEASE_PROBABILITY) => {
-                    self.members[target].registry.release(workspace, ask, now);
+                    self.members[target].registry.release(workspace, quota_request, now);
                     return;
                 }
                 QuotaReply::Granted { after } => {
