--- a/src/core/members/groups.rs
+++ b/src/core/members/groups.rs
@@ -16,7 +16,7 @@
     group_size: usize,
     members: impl IntoIterator<Item = &'a str>,
 ) -> Vec<&'a str> {
-    let rank = |member: &str| xxh3_64(format!("{work}/{member}").as_bytes());
+    let rank = |member: &str| xxh3_64(format!("{job}/{member}").as_bytes());
     let mut ranked: Vec<(u64, &str)> =
         members.into_iter().map(|member| (rank(member), member)).collect();
     ranked.sort_unstable();
--- a/tests/quota_limits.rs
+++ b/tests/quota_limits.rs
@@ -108,8 +108,8 @@
         for (_, number, since) in ready {
             // The first programs only train the estimate.
             let counts = u32::from(since >= 2_000);
-            let ask = QuotaRequest { opens: number == 0 };
-            match limiter.decide(ask, params, by_program, now) {
+            let request = QuotaRequest { opens: number == 0 };
+            match limiter.decide(request, params, by_program, now) {
                 QuotaReply::Granted { .. } => {
                     started += counts * u32::from(number == 0);
                     match number + 1 < requests {
@@ -144,8 +144,8 @@
     let standby = LimiterParams { role: LimiterRole::Standby, ..params };
     let mut limiter = WorkspaceLimiter::new(Instant::now(), standby, Instant::now());
     for params in [params, standby] {
-        for ask in [CALL, FIRST] {
-            let reply = limiter.decide(ask, params, true, Instant::now());
+        for request in [CALL, FIRST] {
+            let reply = limiter.decide(request, params, true, Instant::now());
             let QuotaReply::Refused { retry_after } = reply else { panic!("{reply:?}") };
             assert!(retry_after <= Duration::from_secs(2));
         }
@@ -219,17 +219,18 @@
     use LimiterStatus::{Alive, Gone, Suspect};
     for workspace in ["a", "b", "c", "d", "e", "f"] {
         let view = view_of(0, &[Alive; 5], 0);
-        let [first, second] =
-            view.candidates(workspace).map(|member| member.expect("five").clone());
+        let [first, second] = view
+            .candidates(workspace)
+            .map(|member| member.expect("five members are known").clone());
         assert_ne!(first.instance, second.instance);
         let of = |member: &QuotaMember, statuses: &[LimiterStatus]| {
-            let number = member.instance[1..].parse().expect("a number");
+            let number = member.instance[1..].parse().expect("instance names end with a number");
             view_of(number, statuses, 0).role(workspace, after_discovery())
         };
         assert_eq!(of(&first, &[Alive; 5]), PRIMARY);
         assert_eq!(of(&second, &[Alive; 5]), LimiterRole::Standby);
         // The second one takes over from a suspect, which is still asked.
-        let number: usize = first.instance[1..].parse().expect("a number");
+        let number: usize = first.instance[1..].parse().expect("instance names end with a number");
         let mut statuses = [Alive; 5];
         statuses[number] = Suspect;
         assert_eq!(of(&second, &statuses), LimiterRole::Primary { share: 0.8 });
@@ -257,9 +258,9 @@
     advance(Duration::from_secs(10)).await;
     let mut registry = LimiterRegistry::new(STRICT, true, Instant::now() - Duration::from_secs(10));
     for _ in 0..5 {
-        let (reply, primary) =
+        let (reply, is_primary) =
             registry.decide(request(1, &workspace, quota), &view, Instant::now());
-        assert!(is_granted(reply) && primary);
+        assert!(is_granted(reply) && is_primary);
     }
     assert!(is_granted(registry.decide(request(2, &workspace, quota), &view, Instant::now()).0));
     let (reply, _) = registry.decide(request(3, &workspace, quota), &view, Instant::now());
@@ -272,8 +273,11 @@
 async fn limiter_that_takes_over_again_starts_empty() {
     use LimiterStatus::{Alive, Gone};
     let workspace: Box<str> = "acme".into();
-    let first = view_of(0, &[Alive; 2], 0).candidates(&workspace)[0].expect("two").instance.clone();
-    let other: usize = first[1..].parse().expect("a number");
+    let first = view_of(0, &[Alive; 2], 0).candidates(&workspace)[0]
+        .expect("two members are known")
+        .instance
+        .clone();
+    let other: usize = first[1..].parse().expect("instance names end with a number");
     let me = 1 - other;
     let mut without = [Alive; 2];
     without[other] = Gone;
@@ -365,9 +369,9 @@
     let mut shares: Vec<QuotaShare> =
         (0..INSTANCES).map(|_| QuotaShare::new(Instant::now())).collect();
     advance(Duration::from_secs(60)).await;
-    let ask =
+    let grants =
         |share: &mut QuotaShare| is_granted(share.decide(quota, BOUNDS, INSTANCES, Instant::now()));
-    let granted = shares.iter_mut().map(|share| usize::from(ask(share))).sum::<usize>();
+    let granted = shares.iter_mut().map(|share| usize::from(grants(share))).sum::<usize>();
     let bound = BOUNDS.limit(quota) + BOUNDS.tolerance(quota);
     assert!(granted as f64 > bound, "{granted} at once of {bound}");
 }
