--- a/tests/platform_workspaces.rs
+++ b/tests/platform_workspaces.rs
@@ -56,7 +56,7 @@
                     1,
                 ),
                 quota: Some(
-                    QuotaTerms {
+                    QuotaLimit {
                         rate: 20.0,
                         burst: 30.0,
                     },
