--- a/tests/gateway_quotas.rs
+++ b/tests/gateway_quotas.rs
@@ -203,7 +203,7 @@
         deployment.engines[0].forget_acts();
     }
     wait_until("all is given back", async || {
-        samples(&deployment.gateways[chief]).await.iter().any(|s| s.chief && s.level >= 5.0)
+        samples(&deployment.gateways[chief]).await.iter().any(|s| s.is_primary && s.level >= 5.0)
     })
     .await;
     assert_eq!(count(&flood(&deployment, "acme", 5).await, 200), 5);
