--- a/src/core/members/groups.rs
+++ b/src/core/members/groups.rs
@@ -12,11 +12,11 @@
 /// Picks one of `group_size` members, by the lowest hashes. Members that agree on the list pick the
 /// same leaders without exchanging messages.
 pub fn leaders<'a>(
-    job: &str,
+    work: &str,
     group_size: usize,
     members: impl IntoIterator<Item = &'a str>,
 ) -> Vec<&'a str> {
-    let rank = |member: &str| xxh3_64(format!("{job}/{member}").as_bytes());
+    let rank = |member: &str| xxh3_64(format!("{work}/{member}").as_bytes());
     let mut ranked: Vec<(u64, &str)> =
         members.into_iter().map(|member| (rank(member), member)).collect();
     ranked.sort_unstable();
@@ -36,12 +36,12 @@
 
 /// Returns the role of `me` where one of `group_size` members does the job for its group.
 pub fn group_role<'a>(
-    job: &str,
+    work: &str,
     me: &str,
     group_size: usize,
     members: impl IntoIterator<Item = &'a str>,
 ) -> GroupRole<'a> {
-    let leaders = leaders(job, group_size, members);
+    let leaders = leaders(work, group_size, members);
     if leaders.contains(&me) {
         return GroupRole::Leader;
     }
@@ -50,13 +50,13 @@
 
 /// Like [`group_role`], but leaders form groups again until at most `max_roots` of them are left.
 pub fn tree_role<'a>(
-    job: &str,
+    work: &str,
     me: &str,
     group_size: usize,
     max_roots: usize,
     members: impl IntoIterator<Item = &'a str>,
 ) -> GroupRole<'a> {
-    let mut level = leaders(job, group_size, members);
+    let mut level = leaders(work, group_size, members);
     loop {
         if !level.contains(&me) {
             return preferred_member(me, level).map_or(GroupRole::Leader, GroupRole::Follower);
@@ -64,6 +64,6 @@
         if level.len() <= max_roots {
             return GroupRole::Leader;
         }
-        level = leaders(job, group_size, level);
+        level = leaders(work, group_size, level);
     }
 }
