--- a/src/bench/workspace_cores.rs
+++ b/src/bench/workspace_cores.rs
@@ -6,8 +6,8 @@
 use super::cores::{CoreSlope, measure_build, slope};
 use crate::core::ids::WorkspaceId;
 use crate::core::quotas::{
-    LimiterDesk, LimiterStanding, QuotaAsk, QuotaBounds, QuotaMember, QuotaQuestion, QuotaTerms,
-    QuotaView,
+    LimiterRegistry, LimiterRequest, LimiterStatus, QuotaBounds, QuotaLimit, QuotaMember,
+    QuotaRequest, QuotaView,
 };
 use crate::core::workspaces::{ApiKey, WorkspaceSpec, WorkspaceTable};
 
@@ -40,7 +40,7 @@
         name: format!("workspace-{workspace}").into(),
         keys: (0..KEYS).map(|number| key(workspace, number)).collect(),
         priority: Some(1),
-        quota: Some(QuotaTerms { rate: 10.0, burst: 10.0 }),
+        quota: Some(QuotaLimit { rate: 10.0, burst: 10.0 }),
     }))
 }
 
@@ -61,20 +61,20 @@
         instance: format!("instance-{number}").into(),
         incarnation: 1,
         address: format!("10.0.0.1:{number}").into(),
-        standing: LimiterStanding::Alive,
+        status: LimiterStatus::Alive,
     };
     let now = tokio::time::Instant::now();
     let view = QuotaView::new("instance-0".into(), (0..count).map(member).collect(), 0, now);
-    let mut desk = LimiterDesk::new(BOUNDS, true, now);
+    let mut registry = LimiterRegistry::new(BOUNDS, true, now);
     let names: Vec<WorkspaceId> = (0..86).map(|n| format!("workspace-{n}").into()).collect();
-    let quota = QuotaTerms { rate: 1e6, burst: 1e6 };
+    let quota = QuotaLimit { rate: 1e6, burst: 1e6 };
     let started = Instant::now();
     for id in 0..OPERATIONS {
         let workspace = &names[id % names.len()];
-        black_box(view.asked(workspace));
-        let ask = QuotaAsk { opens: id % 12 == 0 };
-        let question = QuotaQuestion { id: id as u64, workspace, ask, quota };
-        black_box(desk.decide(question, &view, now));
+        black_box(view.candidates(workspace));
+        let ask = QuotaRequest { opens: id % 12 == 0 };
+        let question = LimiterRequest { id: id as u64, workspace, quota_request: ask, quota };
+        black_box(registry.decide(question, &view, now));
     }
     slope("a place within a limit", count, started.elapsed(), OPERATIONS, 0.0)
 }
--- a/src/core/members/groups.rs
+++ b/src/core/members/groups.rs
@@ -1,70 +1,69 @@
-//! Members of a zone that do something for the others.
+//! Assigns a job to leaders among the members of a zone, and the other members to these leaders.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Who does a work for one member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum GroupPlace<'a> {
-    /// It does the work itself, and for others.
-    Leads,
-    /// This one does it.
-    Follows(&'a str),
+pub enum GroupRole<'a> {
+    Leader,
+    /// Served by this leader.
+    Follower(&'a str),
 }
 
-/// One of `span` members, those with the lowest hashes.
-///
-/// All that agree on the members name the same leaders without a word.
+/// Picks one of `group_size` members, by the lowest hashes. Members that agree on the list pick the
+/// same leaders without exchanging messages.
 pub fn leaders<'a>(
     work: &str,
-    span: usize,
+    group_size: usize,
     members: impl IntoIterator<Item = &'a str>,
 ) -> Vec<&'a str> {
     let rank = |member: &str| xxh3_64(format!("{work}/{member}").as_bytes());
     let mut ranked: Vec<(u64, &str)> =
         members.into_iter().map(|member| (rank(member), member)).collect();
     ranked.sort_unstable();
-    ranked.truncate(ranked.len().div_ceil(span));
+    ranked.truncate(ranked.len().div_ceil(group_size));
     ranked.into_iter().map(|(_, member)| member).collect()
 }
 
-/// The favourite of a key among some members. When the members change, only the keys of those that
-/// came or went move.
-pub fn favourite<'a>(key: &str, members: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
+/// Picks a member for a key by rendezvous hashing: when members join or leave, only their keys
+/// move.
+pub fn preferred_member<'a>(
+    key: &str,
+    members: impl IntoIterator<Item = &'a str>,
+) -> Option<&'a str> {
     let weight = |member: &str| xxh3_64(format!("{key}/{member}").as_bytes());
     members.into_iter().max_by_key(|member| weight(member))
 }
 
-/// Who does a work for `me`, where one of `span` members does it for all.
-pub fn group_place<'a>(
+/// Returns the role of `me` where one of `group_size` members does the job for its group.
+pub fn group_role<'a>(
     work: &str,
     me: &str,
-    span: usize,
+    group_size: usize,
     members: impl IntoIterator<Item = &'a str>,
-) -> GroupPlace<'a> {
-    let leaders = leaders(work, span, members);
+) -> GroupRole<'a> {
+    let leaders = leaders(work, group_size, members);
     if leaders.contains(&me) {
-        return GroupPlace::Leads;
+        return GroupRole::Leader;
     }
-    favourite(me, leaders).map_or(GroupPlace::Leads, GroupPlace::Follows)
+    preferred_member(me, leaders).map_or(GroupRole::Leader, GroupRole::Follower)
 }
 
-/// Who does a work for `me` in a tree: one of `span` members does it for the others, and so on among
-/// those, until no more than `roots` are left that do it by themselves.
-pub fn tree_place<'a>(
+/// Like [`group_role`], but leaders form groups again until at most `max_roots` of them are left.
+pub fn tree_role<'a>(
     work: &str,
     me: &str,
-    span: usize,
-    roots: usize,
+    group_size: usize,
+    max_roots: usize,
     members: impl IntoIterator<Item = &'a str>,
-) -> GroupPlace<'a> {
-    let mut level = leaders(work, span, members);
+) -> GroupRole<'a> {
+    let mut level = leaders(work, group_size, members);
     loop {
         if !level.contains(&me) {
-            return favourite(me, level).map_or(GroupPlace::Leads, GroupPlace::Follows);
+            return preferred_member(me, level).map_or(GroupRole::Leader, GroupRole::Follower);
         }
-        if level.len() <= roots {
-            return GroupPlace::Leads;
+        if level.len() <= max_roots {
+            return GroupRole::Leader;
         }
-        level = leaders(work, span, level);
+        level = leaders(work, group_size, level);
     }
 }
--- a/src/core/members/mod.rs
+++ b/src/core/members/mod.rs
@@ -1,11 +1,11 @@
-//! Which instances are there: a gossiping failure detector with indirect probes and suspicion; and who
-//! of them does a work for the others.
+//! Membership of a zone's instances by a gossip protocol with indirect probes and suspicion, and
+//! the choice of leaders among them.
 
+mod dissemination;
 mod groups;
 mod message;
-mod spread;
 mod table;
 
-pub use groups::{GroupPlace, favourite, group_place, leaders, tree_place};
+pub use groups::{GroupRole, group_role, leaders, preferred_member, tree_role};
 pub use message::{GossipBody, GossipMessage, MemberInfo, MemberLoad, MemberState};
 pub use table::{MemberAction, MemberSettings, MemberTable};
--- a/src/core/turns/coordinator.rs
+++ b/src/core/turns/coordinator.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use crate::core::members::{favourite, leaders};
+use crate::core::members::{leaders, preferred_member};
 
 /// Low, so that enough turns meet at a coordinator for most records to travel with another turn's
 /// reservation.
@@ -57,7 +57,7 @@
     span: usize,
     members: impl IntoIterator<Item = &'a str>,
 ) -> Option<&'a str> {
-    favourite(program, coordinators(span, members))
+    preferred_member(program, coordinators(span, members))
 }
 
 pub fn coordinators<'a>(span: usize, members: impl IntoIterator<Item = &'a str>) -> Vec<&'a str> {
--- a/src/core/workspaces/mod.rs
+++ b/src/core/workspaces/mod.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 
 use crate::core::ids::WorkspaceId;
-use crate::core::quotas::QuotaTerms;
+use crate::core::quotas::QuotaLimit;
 
 pub use name::qualified_name;
 pub use table::{InvalidKey, WorkspaceTable};
@@ -39,5 +39,5 @@
     /// 0 is the most urgent; overrides the priority of the route.
     pub priority: Option<u8>,
     /// `None` if unlimited.
-    pub quota: Option<QuotaTerms>,
+    pub quota: Option<QuotaLimit>,
 }
--- a/src/gateway/members/mod.rs
+++ b/src/gateway/members/mod.rs
@@ -14,7 +14,7 @@
 use crate::core::ids::{ConfigVersion, InstanceId};
 use crate::core::members::{
     GossipMessage, MemberAction, MemberInfo, MemberLoad, MemberSettings, MemberState, MemberTable,
-    favourite,
+    preferred_member,
 };
 use crate::core::timeline::CausalClock;
 use crate::core::turns::{CoordinatorSpan, ProgramName, coordinator, coordinators};
@@ -79,7 +79,8 @@
             gossip_address: settings.gossip_address(&settings.peer_address),
             load: MemberLoad::default(),
         };
-        let member_settings = MemberSettings { suspicion: SUSPICION, ..MemberSettings::default() };
+        let member_settings =
+            MemberSettings { suspicion_timeout: SUSPICION, ..MemberSettings::default() };
         let table = MemberTable::new(member_settings, me, seed, Instant::now());
         Self {
             table: RefCell::new(table),
@@ -118,7 +119,7 @@
         let actions = {
             let mut table = self.table.borrow_mut();
             table.set_http_address(address);
-            table.spread(Instant::now())
+            table.push_updates(Instant::now())
         };
         self.perform(actions);
     }
@@ -133,7 +134,7 @@
                 return false;
             }
             table.set_http_address("");
-            table.spread(Instant::now())
+            table.push_updates(Instant::now())
         };
         self.perform(actions);
         true
@@ -181,7 +182,7 @@
         let span = self.span.get().instances();
         let coordinators = coordinators(span, near.map(|member| &*member.instance));
         let others = programs.into_iter().filter(|program| {
-            favourite(program, coordinators.iter().copied()) != Some(&*me.instance)
+            preferred_member(program, coordinators.iter().copied()) != Some(&*me.instance)
         });
         others.cloned().collect()
     }
@@ -210,7 +211,7 @@
         loop {
             if rounds.next_if(|after| begun.elapsed() >= **after).is_some() {
                 next_join = Instant::now();
-                let actions = self.table.borrow_mut().ask_around();
+                let actions = self.table.borrow_mut().request_member_list();
                 self.perform(actions);
             }
             if Instant::now() >= next_join {
--- a/src/gateway/members/roles.rs
+++ b/src/gateway/members/roles.rs
@@ -3,8 +3,8 @@
 use rand::seq::SliceRandom;
 
 use super::{MemberView, is_offered};
-use crate::core::members::{GroupPlace, MemberInfo, MemberState, group_place, tree_place};
-use crate::core::quotas::{LimiterStanding, QuotaMember};
+use crate::core::members::{GroupRole, MemberInfo, MemberState, group_role, tree_role};
+use crate::core::quotas::{LimiterStatus, QuotaMember};
 use crate::gateway::news::NewsReaders;
 use crate::gateway::quotas::QuotaPeers;
 use crate::gateway::store::RelayPeers;
@@ -17,7 +17,7 @@
 
 impl QuotaPeers for MemberView {
     fn doubts(&self) -> u64 {
-        self.table.borrow().doubts()
+        self.table.borrow().suspicions()
     }
 
     fn changes(&self) -> u64 {
@@ -25,11 +25,11 @@
     }
 
     fn quota_members(&self) -> Vec<QuotaMember> {
-        let standing = |state| match state {
-            MemberState::Alive => Some(LimiterStanding::Alive),
-            MemberState::Suspect => Some(LimiterStanding::Suspect),
-            MemberState::Dead => Some(LimiterStanding::Gone),
-            MemberState::Leaving | MemberState::Doubted => None,
+        let status = |state| match state {
+            MemberState::Alive => Some(LimiterStatus::Alive),
+            MemberState::Suspect => Some(LimiterStatus::Suspect),
+            MemberState::Dead => Some(LimiterStatus::Gone),
+            MemberState::Leaving | MemberState::LeavingSuspect => None,
         };
         let table = self.table.borrow();
         let member = |info: &MemberInfo| {
@@ -37,7 +37,7 @@
                 instance: info.instance.clone(),
                 incarnation: info.incarnation,
                 address: info.gossip_address.clone(),
-                standing: standing(info.state)?,
+                status: status(info.state)?,
             })
         };
         table.iter().filter_map(member).collect()
@@ -70,8 +70,8 @@
         let me = table.me();
         let near = table.iter().filter(|member| is_offered(member) && member.zone == me.zone);
         let names = near.map(|member| &*member.instance);
-        let place = tree_place("news", &me.instance, READER_SPAN, READER_ROOTS, names);
-        let GroupPlace::Follows(reader) = place else { return None };
+        let place = tree_role("news", &me.instance, READER_SPAN, READER_ROOTS, names);
+        let GroupRole::Follower(reader) = place else { return None };
         let reader = table.iter().find(|member| *member.instance == *reader)?;
         Some(reader.rpc_address.clone())
     }
@@ -81,6 +81,6 @@
         let me = table.me();
         let near = table.iter().filter(|member| is_offered(member) && member.zone == me.zone);
         let names = near.map(|member| &*member.instance);
-        group_place("news", &me.instance, READER_SPAN, names) == GroupPlace::Leads
+        group_role("news", &me.instance, READER_SPAN, names) == GroupRole::Leader
     }
 }
--- a/src/gateway/quotas/asker.rs
+++ b/src/gateway/quotas/asker.rs
@@ -13,8 +13,8 @@
 use super::{LeastMembers, QuotaKeeper, QuotaOutcome, QuotaPeers, QuotaPlace, QuotaSource};
 use crate::core::ids::{InstanceId, WorkspaceId};
 use crate::core::quotas::{
-    AskId, LimitSample, LimiterDesk, QuotaAsk, QuotaBounds, QuotaQuestion, QuotaReply, QuotaTerms,
-    QuotaView,
+    LimitSample, LimiterRegistry, LimiterRequest, QuotaBounds, QuotaLimit, QuotaReply,
+    QuotaRequest, QuotaRequestId, QuotaView,
 };
 use crate::gateway::latency::FailedPeers;
 use crate::gateway::members::QuotaListener;
@@ -69,7 +69,7 @@
 /// Limits kept by one member for each workspace.
 pub(crate) struct LimiterQuota {
     me: InstanceId,
-    desk: RefCell<LimiterDesk>,
+    desk: RefCell<LimiterRegistry>,
     /// When the instance was last seen running.
     mark: Cell<Option<ClockMark>>,
     /// Doubts of others that are known of.
@@ -78,7 +78,7 @@
     source: Rc<dyn QuotaSource>,
     least: LeastMembers,
     seen: RefCell<Option<SeenMembers>>,
-    waiting: RefCell<HashMap<AskId, UnboundedSender<HeardReply>>>,
+    waiting: RefCell<HashMap<QuotaRequestId, UnboundedSender<HeardReply>>>,
     silent: RefCell<FailedPeers>,
     unheard: Cell<u32>,
 }
@@ -94,7 +94,7 @@
     ) -> Self {
         Self {
             me,
-            desk: RefCell::new(LimiterDesk::new(bounds, by_program, Instant::now())),
+            desk: RefCell::new(LimiterRegistry::new(bounds, by_program, Instant::now())),
             mark: Cell::new(None),
             doubts: Cell::new(0),
             peers,
@@ -119,14 +119,14 @@
     }
 
     /// Decides about a request as the limiter of its workspace, or its deputy.
-    fn decide(&self, question: QuotaQuestion<'_>) -> (QuotaReply, bool) {
+    fn decide(&self, question: LimiterRequest<'_>) -> (QuotaReply, bool) {
         self.notice_absence();
         let now = Instant::now();
         self.with_view(|view| self.desk.borrow_mut().decide(question, view, now))
     }
 
     fn chief_address(&self, workspace: &str) -> Option<Box<str>> {
-        self.with_view(|view| view.chief(workspace).map(|chief| chief.address.clone()))
+        self.with_view(|view| view.limiter(workspace).map(|limiter| limiter.address.clone()))
     }
 
     /// Begins anew after a pause, or when others took this instance for failed: they have asked
@@ -172,7 +172,8 @@
                 if self.least.get().is_none() {
                     return;
                 }
-                let question = QuotaQuestion { id, workspace: &workspace, ask, quota };
+                let question =
+                    LimiterRequest { id, workspace: &workspace, quota_request: ask, quota };
                 let (reply, chief) = self.decide(question);
                 let chief = if chief { None } else { self.chief_address(&workspace) };
                 self.peers.send(from, &QuotaMessage::Reply { id, reply, chief }.encode());
@@ -184,7 +185,7 @@
                 }
             }
             QuotaMessage::GiveBack { workspace, ask } => {
-                self.desk.borrow_mut().give_back(&workspace, ask, Instant::now());
+                self.desk.borrow_mut().release(&workspace, ask, Instant::now());
             }
         }
     }
@@ -195,7 +196,7 @@
     fn targets(&self, workspace: &str, round: usize) -> (Vec<Box<str>>, bool) {
         self.with_view(|view| {
             let silent = self.silent.borrow();
-            let [first, second] = view.asked(workspace);
+            let [first, second] = view.candidates(workspace);
             let passed = first.is_some_and(|first| silent.contains(&first.address));
             let second = second.filter(|_| round >= ALONE || passed);
             let asked: Vec<_> = first.into_iter().chain(second).collect();
@@ -208,11 +209,11 @@
 
     async fn ask_round(
         &self,
-        question: QuotaQuestion<'_>,
+        question: LimiterRequest<'_>,
         round: usize,
         replies: &mut UnboundedReceiver<HeardReply>,
     ) -> Option<LimitAnswer> {
-        let QuotaQuestion { id, workspace, ask, .. } = question;
+        let LimiterRequest { id, workspace, quota_request: ask, .. } = question;
         let (peers, own) = self.targets(workspace, round);
         let datagram = QuotaMessage::Ask { id, workspace: workspace.clone(), ask }.encode();
         peers.iter().for_each(|peer| self.peers.send(peer, &datagram));
@@ -250,11 +251,11 @@
     async fn ask_all(
         &self,
         workspace: &WorkspaceId,
-        quota: QuotaTerms,
-        ask: QuotaAsk,
+        quota: QuotaLimit,
+        ask: QuotaRequest,
     ) -> Option<LimitAnswer> {
-        let id: AskId = rand::random();
-        let question = QuotaQuestion { id, workspace, ask, quota };
+        let id: QuotaRequestId = rand::random();
+        let question = LimiterRequest { id, workspace, quota_request: ask, quota };
         let (sender, mut replies) = unbounded_channel();
         self.waiting.borrow_mut().insert(id, sender);
         let _open = OpenQuestion { waiting: &self.waiting, id };
@@ -279,8 +280,8 @@
 
 /// A question that waits for its answer; forgotten when its asker leaves.
 struct OpenQuestion<'a> {
-    waiting: &'a RefCell<HashMap<AskId, UnboundedSender<HeardReply>>>,
-    id: AskId,
+    waiting: &'a RefCell<HashMap<QuotaRequestId, UnboundedSender<HeardReply>>>,
+    id: QuotaRequestId,
 }
 
 impl Drop for OpenQuestion<'_> {
@@ -291,7 +292,12 @@
 
 #[async_trait(?Send)]
 impl QuotaKeeper for LimiterQuota {
-    async fn ask(&self, workspace: &WorkspaceId, quota: QuotaTerms, ask: QuotaAsk) -> QuotaOutcome {
+    async fn ask(
+        &self,
+        workspace: &WorkspaceId,
+        quota: QuotaLimit,
+        ask: QuotaRequest,
+    ) -> QuotaOutcome {
         let Some(answer) = self.ask_all(workspace, quota, ask).await else {
             return QuotaOutcome::Uncertain { retry_after: UNCERTAIN_RETRY };
         };
@@ -322,7 +328,7 @@
                 let message = QuotaMessage::GiveBack { workspace: workspace.clone(), ask: *ask };
                 self.peers.send(limiter, &message.encode());
             }
-            None => self.desk.borrow_mut().give_back(&place.workspace, place.ask, Instant::now()),
+            None => self.desk.borrow_mut().release(&place.workspace, place.ask, Instant::now()),
         }
     }
 
--- a/src/gateway/quotas/asker_tests.rs
+++ b/src/gateway/quotas/asker_tests.rs
@@ -9,7 +9,7 @@
 use super::LimiterQuota;
 use crate::core::ids::WorkspaceId;
 use crate::core::quotas::{
-    LimiterStanding, QuotaAsk, QuotaBounds, QuotaMember, QuotaReply, QuotaTerms,
+    LimiterStatus, QuotaBounds, QuotaLimit, QuotaMember, QuotaReply, QuotaRequest,
 };
 use crate::gateway::members::QuotaListener;
 use crate::gateway::quotas::{
@@ -17,8 +17,8 @@
 };
 
 const BOUNDS: QuotaBounds = QuotaBounds { window: Duration::from_secs(5), over: 0.0, slack: 0.0 };
-const QUOTA: QuotaTerms = QuotaTerms { rate: 10.0, burst: 100.0 };
-const CALL: QuotaAsk = QuotaAsk { opens: false };
+const QUOTA: QuotaLimit = QuotaLimit { rate: 10.0, burst: 100.0 };
+const CALL: QuotaRequest = QuotaRequest { opens: false };
 
 /// Members without a network: what is sent is kept.
 struct FakePeers {
@@ -61,14 +61,14 @@
 struct FakeSource;
 
 impl QuotaSource for FakeSource {
-    fn quota(&self, workspace: &str) -> Option<QuotaTerms> {
+    fn quota(&self, workspace: &str) -> Option<QuotaLimit> {
         (workspace != "unknown").then_some(QUOTA)
     }
 }
 
 fn member(name: &str) -> QuotaMember {
-    let standing = LimiterStanding::Alive;
-    QuotaMember { instance: name.into(), incarnation: 1, address: name.into(), standing }
+    let status = LimiterStatus::Alive;
+    QuotaMember { instance: name.into(), incarnation: 1, address: name.into(), status }
 }
 
 /// An instance `me` among others.
@@ -90,7 +90,7 @@
     for number in 0.. {
         let workspace: WorkspaceId = format!("w{number}").into();
         let asked = limiter.with_view(|view| {
-            view.asked(&workspace).map(|member| member.expect("three").address.to_string())
+            view.candidates(&workspace).map(|member| member.expect("three").address.to_string())
         });
         if asked.iter().all(|address| *address != "me") {
             let [first, second] = asked;
