--- a/src/bench/cores.rs
+++ b/src/bench/cores.rs
@@ -10,15 +10,15 @@
 use crate::core::budget::{BudgetLedger, LedgerSettings, ReserveOutcome};
 use crate::core::cache::WorkingSet;
 use crate::core::config::{ChangeBody, ConfigChange, ConfigView, WorkspaceSpec};
-use crate::core::dispatch::{EngineSlots, LeastAttained, ServiceClass, SlotRequest};
+use crate::core::dispatch::{EngineSlots, LeastAttainedService, ServiceClass, SlotRequest};
 use crate::core::history::{JournalBatch, JournalRecord, ProgramBook, TurnRecord};
-use crate::core::ids::{InstanceId, ProgramId, Tokens, mint_program};
+use crate::core::ids::{InstanceId, ProgramId, Tokens, compose_program_id};
 use crate::core::outcome::{CallAnswer, CallOutcome, TokenUsage};
 use crate::core::ownership::{ShardOwner, ShardTable, assign_engines, assign_shards};
 use crate::core::timeline::CausalStamp;
 use crate::core::turns::{CoordinatorSpan, coordinator};
 use crate::core::upstreams::{
-    ChoiceRequest, ListNews, UpstreamEntry, UpstreamState, UpstreamTable,
+    ChoiceRequest, UpstreamEntry, UpstreamState, UpstreamTable, UpstreamUpdate,
 };
 
 /// One operation on a state of one size.
@@ -118,7 +118,7 @@
 }
 
 fn program_id(index: usize) -> ProgramId {
-    mint_program((index % 1024) as u16, 1, index as u64)
+    compose_program_id((index % 1024) as u16, 1, index as u64)
 }
 
 fn started(index: usize) -> JournalRecord {
@@ -252,7 +252,7 @@
 fn measure_queue(count: usize) -> CoreSlope {
     let now = tokio::time::Instant::now();
     let memory = WorkingSet::new(Tokens::MAX / 2, Duration::from_secs(60));
-    let mut slots = EngineSlots::new(1, memory, Box::new(LeastAttained::default()));
+    let mut slots = EngineSlots::new(1, memory, Box::new(LeastAttainedService::default()));
     for index in 0..count {
         slots.enqueue(SlotRequest {
             permit: index as u64,
@@ -263,7 +263,7 @@
             weight: 100,
             attained: index as u64,
             tokens: 300,
-            newcomer: false,
+            cold: false,
             own_tokens: 300,
             arrived: now,
             deadline: now + Duration::from_secs(60),
@@ -281,7 +281,7 @@
     for index in 0..count {
         let entry = UpstreamEntry {
             id: format!("upstream-{index}").into(),
-            born: None,
+            started_at: None,
             service: "service".into(),
             address: format!("10.1.{}.{}:80", index / 250, index % 250).into(),
             zone: format!("zone-{}", index % 5).into(),
@@ -289,14 +289,14 @@
             state: UpstreamState::Ready,
             warming: Duration::ZERO,
         };
-        table.apply(ListNews::Listed(entry), now);
+        table.apply(UpstreamUpdate::Listed(entry), now);
     }
     let started = Instant::now();
     for salt in 0..DECISIONS {
         let request = ChoiceRequest {
             service: "service",
             zone: "zone-1",
-            parts: &[],
+            blocks: &[],
             holder: None,
             affinity: None,
             tried: &[],
--- a/src/bench/policy/setup.rs
+++ b/src/bench/policy/setup.rs
@@ -3,8 +3,9 @@
 use std::time::Duration;
 
 use crate::core::dispatch::{
-    CacheAwareChooser, EngineChooser, FirstCome, LeastAttained, LeastLoaded, NewcomerBounds,
-    PerCall, PrefillCost, QueuePolicy, StickyHolder,
+    CacheAwareChooser, ColdProgramLimits, EngineChooser, FirstComeFirstServed,
+    LeastAttainedService, LeastLoadedChooser, PrefillCost, QueuePolicy, ShortestCallFirst,
+    StickyChooser,
 };
 
 use super::engine::PREFILL_PER_TOKEN;
@@ -20,9 +21,9 @@
 impl QueueOrder {
     pub(super) fn policy(self) -> Box<dyn QueuePolicy> {
         match self {
-            Self::FirstCome => Box::new(FirstCome),
-            Self::PerCall => Box::new(PerCall),
-            Self::LeastAttained => Box::new(LeastAttained::default()),
+            Self::FirstCome => Box::new(FirstComeFirstServed),
+            Self::PerCall => Box::new(ShortestCallFirst),
+            Self::LeastAttained => Box::new(LeastAttainedService::default()),
         }
     }
 }
@@ -80,13 +81,13 @@
 impl ChoiceRule {
     pub(super) fn chooser(self) -> Box<dyn EngineChooser> {
         match self {
-            Self::LeastLoaded => Box::new(LeastLoaded),
-            Self::Sticky => Box::new(StickyHolder),
+            Self::LeastLoaded => Box::new(LeastLoadedChooser),
+            Self::Sticky => Box::new(StickyChooser),
             Self::CacheAware { weight, remote_millis, crowded } => {
                 let cost = PrefillCost { per_token: PREFILL_PER_TOKEN * weight };
                 {
-                    let remote = Duration::from_millis(remote_millis);
-                    Box::new(CacheAwareChooser { cost, remote, crowded })
+                    let remote_cost = Duration::from_millis(remote_millis);
+                    Box::new(CacheAwareChooser { cost, remote_cost, pressure_threshold: crowded })
                 }
             }
         }
@@ -120,7 +121,7 @@
     /// Random engines of others that a call looks at, beside its own and those that hold some of
     /// its prompt; all of them if absent.
     pub sample: Option<usize>,
-    pub admission: Option<NewcomerBounds>,
+    pub admission: Option<ColdProgramLimits>,
     pub pause: PauseRule,
     /// Whether engines that have become slow are avoided.
     pub watch_pace: bool,
@@ -141,7 +142,7 @@
             sample: Some(2),
             preempt_after: Some(Duration::from_millis(250)),
             watch_pace: true,
-            admission: Some(NewcomerBounds { paying: 1300, trial: 1000 }),
+            admission: Some(ColdProgramLimits { paying: 1300, trial: 1000 }),
             ..Self::first()
         }
     }
--- a/src/core/admission/mod.rs
+++ b/src/core/admission/mod.rs
@@ -1,12 +1,7 @@
-//! Which new programs are turned away while engines have far more work than they can do in time.
+//! Rejects first turns while the engines of a service are overloaded, lowest priority first.
 //!
-//! Engines take work in the order in which it comes and queue several times what they can run. Offered
-//! more than they can do, they come to a turn when its caller has left, and do their work for nobody.
-//! So the load is cut where the least is lost: at first turns, the least urgent first, as soon as
-//! turns wait far longer than their objective allows. Programs under way are never turned away here.
-//!
-//! Gain: with engines three times slower than the load was made for, programs earned 0.24 to 0.27 of what
-//! they were worth instead of 0.10 to 0.11 (two plays each of the same load).
+//! Engines queue far more work than they can run, so under overload they serve requests whose
+//! callers have left. Load is shed only at first turns, where no work is lost yet.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,162 +11,154 @@
 
 use crate::core::routing::ServiceName;
 
-/// Share of the newest wait in the running mean: about the last ten count, most of a second's at an
-/// instance with 14 turns a second.
-const WAIT_SHARE: f64 = 0.1;
-/// Shares by which the least wait follows a shorter and a longer one. What an engine takes without a
-/// queue is learned within a second; in an overload of 6 s it rises by a tenth of the queue.
-const LEAST_FALL: f64 = 0.1;
-const LEAST_RISE: f64 = 0.001;
-/// Part of the objective that turns may wait beyond what they do without a queue: all of it. At 0.4 a
-/// burst of 6 s was cut that most programs would have stood (worth 0.67 and 0.66 to 0.57 and 0.65).
-const TARGET_SHARE: f64 = 1.0;
-/// How often the level follows the wait: a few turns are heard of meanwhile.
-const STEP: Duration = Duration::from_millis(100);
-/// Part by which the level falls in a step while the wait is at twice its target or more, and what it
-/// gains in a step below the target: down to half in 0.5 s, up again in 5 to 7 s, as queues are worked
-/// off more slowly than they grow.
-const FALL: f64 = 0.15;
-const GAIN: f64 = 0.02;
-/// First turns that are always let in, so that no kind of request starves.
-const LEAST_SHARE: f64 = 0.15;
-/// Nothing heard for so long says that nothing waits.
-const QUIET: Duration = Duration::from_secs(1);
-/// How long a priority counts as present after its last first turn.
-const PRESENT: Duration = Duration::from_secs(5);
-/// Shortest time until a caller that was turned away may come back.
-const RETRY_LEAST: Duration = Duration::from_millis(300);
+const WAIT_WEIGHT: f64 = 0.1;
+/// Rises are followed far more slowly than falls, so that an overload doesn't shift the baseline.
+const BASELINE_FALL_WEIGHT: f64 = 0.1;
+const BASELINE_RISE_WEIGHT: f64 = 0.001;
+/// Setpoint of the excess wait, as a ratio of the route's objective.
+const SETPOINT_RATIO: f64 = 1.0;
+const CONTROL_INTERVAL: Duration = Duration::from_millis(100);
+/// Multiplicative decrease of the level per interval at twice the setpoint or more.
+const DECREASE_FACTOR: f64 = 0.15;
+/// Additive increase of the level per interval below the setpoint. Slower than the decrease, as
+/// queues drain more slowly than they grow.
+const INCREASE_STEP: f64 = 0.02;
+/// Keeps every priority from starving.
+const MIN_ADMITTED_FRACTION: f64 = 0.15;
+/// Without a sample for this long the queue counts as empty.
+const SAMPLE_TIMEOUT: Duration = Duration::from_secs(1);
+/// A priority without a first turn for this long no longer counts as present.
+const PRIORITY_TIMEOUT: Duration = Duration::from_secs(5);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Whether a first turn is let in.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AdmissionReply {
     Admitted,
-    TurnedAway {
-        /// When so many are expected to be let in again that this one is among them.
+    Rejected {
+        /// Time after which the program is admitted if the level rises steadily.
         retry_after: Duration,
-        /// Part of its kind that is let in at present.
-        share: f64,
-        /// How long turns wait beyond what they do without a queue.
+        /// Fraction of first turns of this priority that is admitted at present.
+        admitted_fraction: f64,
+        /// Mean wait above the baseline.
         excess: Duration,
     },
 }
 
-/// A first turn that asks to be let in.
+/// A program's first turn.
 #[derive(Debug, Clone, Copy)]
 pub struct AdmissionRequest<'a> {
     pub service: &'a str,
-    /// Decides for all attempts of the program: drawn anew for each, six attempts at a share of a
-    /// quarter would let four in five programs in.
+    /// Hashed for the decision, so that retries of a program don't raise its chance.
     pub program: &'a str,
     /// 0 is the most urgent.
     pub priority: u8,
     pub now: Instant,
 }
 
-/// The load of one service as this instance's turns meet it.
+/// Waits and admission level of one service as seen by this instance. Times are in milliseconds.
 #[derive(Debug)]
 struct ServiceLoad {
-    /// Running mean and least value of the time to the first word, in milliseconds.
+    /// Moving average of the time to the first token, less the prefill.
     wait: f64,
-    least: f64,
-    target: f64,
-    /// From 1, all are let in, to 0.
+    /// Estimated wait without a queue.
+    baseline: f64,
+    setpoint: f64,
+    /// From 0 to 1, which admits everything.
     level: f64,
-    heard: Instant,
-    stepped: Instant,
-    /// Priorities of first turns, and when one last came.
+    sampled: Instant,
+    updated: Instant,
+    /// Priorities present, with the time of their last first turn.
     priorities: BTreeMap<u8, Instant>,
 }
 
 impl ServiceLoad {
-    fn new(wait: f64, target: f64, now: Instant) -> Self {
+    fn new(wait: f64, setpoint: f64, now: Instant) -> Self {
         let priorities = BTreeMap::new();
-        Self { wait, least: wait, target, level: 1.0, heard: now, stepped: now, priorities }
+        Self { wait, baseline: wait, setpoint, level: 1.0, sampled: now, updated: now, priorities }
     }
 
     fn excess(&self) -> f64 {
-        (self.wait - self.least).max(0.0)
+        (self.wait - self.baseline).max(0.0)
     }
 
-    fn step(&mut self, now: Instant) {
-        if now.saturating_duration_since(self.heard) > QUIET {
-            self.wait = self.least;
+    fn update(&mut self, now: Instant) {
+        if now.saturating_duration_since(self.sampled) > SAMPLE_TIMEOUT {
+            self.wait = self.baseline;
         }
-        let pressure = self.excess() / self.target.max(1.0);
-        let steps = now.saturating_duration_since(self.stepped).as_millis() / STEP.as_millis();
-        if steps == 0 {
+        let pressure = self.excess() / self.setpoint.max(1.0);
+        let intervals =
+            now.saturating_duration_since(self.updated).as_millis() / CONTROL_INTERVAL.as_millis();
+        if intervals == 0 {
             return;
         }
-        self.stepped = now;
+        self.updated = now;
         if pressure > 1.0 {
-            self.level *= 1.0 - FALL * (pressure - 1.0).min(1.0);
+            self.level *= 1.0 - DECREASE_FACTOR * (pressure - 1.0).min(1.0);
         } else {
-            self.level = (self.level + GAIN * steps as f64).min(1.0);
+            self.level = (self.level + INCREASE_STEP * intervals as f64).min(1.0);
         }
     }
 
-    /// Part of the first turns of a priority that is let in. The most urgent ones are cut only when
-    /// all others have been.
-    fn share(&self, priority: u8) -> f64 {
+    /// The most urgent priority is cut only when all others are at the minimum.
+    fn admitted_fraction(&self, priority: u8) -> f64 {
         let urgent = self.priorities.keys().next().is_none_or(|first| priority <= *first);
-        let share = match (urgent, self.priorities.len()) {
+        let fraction = match (urgent, self.priorities.len()) {
             (true, 0 | 1) => self.level,
             (true, _) => 2.0 * self.level,
             (false, _) => 2.0 * self.level - 1.0,
         };
-        share.clamp(LEAST_SHARE, 1.0)
+        fraction.clamp(MIN_ADMITTED_FRACTION, 1.0)
     }
 }
 
-/// Lets in as many new programs as their engines can serve in time.
+/// Admits as many new programs as the engines can serve in time.
 #[derive(Debug, Default)]
 pub struct AdmissionGate {
     services: BTreeMap<ServiceName, ServiceLoad>,
 }
 
 impl AdmissionGate {
-    /// Notes how long a turn waited for its first word, reading aside, and the objective of its route.
-    pub fn note_wait(&mut self, service: &str, millis: f64, objective: Duration, now: Instant) {
-        let target = objective.as_secs_f64() * 1e3 * TARGET_SHARE;
-        let fresh = || ServiceLoad::new(millis, target, now);
+    /// `millis` is the time to the first token, less the prefill.
+    pub fn record_wait(&mut self, service: &str, millis: f64, objective: Duration, now: Instant) {
+        let setpoint = objective.as_secs_f64() * 1e3 * SETPOINT_RATIO;
+        let fresh = || ServiceLoad::new(millis, setpoint, now);
         let load = self.services.entry(service.into()).or_insert_with(fresh);
-        load.step(now);
-        load.heard = now;
-        load.target = target;
-        load.wait += WAIT_SHARE * (millis - load.wait);
-        let follow = if millis < load.least { LEAST_FALL } else { LEAST_RISE };
-        load.least += follow * (millis - load.least);
+        load.update(now);
+        load.sampled = now;
+        load.setpoint = setpoint;
+        load.wait += WAIT_WEIGHT * (millis - load.wait);
+        let weight =
+            if millis < load.baseline { BASELINE_FALL_WEIGHT } else { BASELINE_RISE_WEIGHT };
+        load.baseline += weight * (millis - load.baseline);
     }
 
-    /// Notes how long a turn had waited whose caller left without a word. It would have waited longer, so
-    /// it can only raise the mean: taken for a wait like others, callers that leave early would make
-    /// engines that are slow by nature look overloaded.
-    pub fn note_left(&mut self, service: &str, millis: f64, now: Instant) {
+    /// Records the wait of a turn whose caller left before the first token. As a lower bound, it
+    /// never lowers the mean or moves the baseline.
+    pub fn record_abandoned(&mut self, service: &str, millis: f64, now: Instant) {
         let Some(load) = self.services.get_mut(service) else { return };
-        load.step(now);
+        load.update(now);
         if millis > load.wait {
-            load.heard = now;
-            load.wait += WAIT_SHARE * (millis - load.wait);
+            load.sampled = now;
+            load.wait += WAIT_WEIGHT * (millis - load.wait);
         }
     }
 
-    /// Decides about a program's first turn.
     pub fn admit(&mut self, request: &AdmissionRequest<'_>) -> AdmissionReply {
         let now = request.now;
         let Some(load) = self.services.get_mut(request.service) else {
             return AdmissionReply::Admitted;
         };
-        load.step(now);
-        load.priorities.retain(|_, seen| now.saturating_duration_since(*seen) < PRESENT);
+        load.update(now);
+        load.priorities.retain(|_, seen| now.saturating_duration_since(*seen) < PRIORITY_TIMEOUT);
         load.priorities.insert(request.priority, now);
-        let share = load.share(request.priority);
+        let admitted_fraction = load.admitted_fraction(request.priority);
         let draw = xxh3_64(request.program.as_bytes()) as f64 / u64::MAX as f64;
-        if draw < share {
+        if draw < admitted_fraction {
             return AdmissionReply::Admitted;
         }
-        let steps = (draw - share) / GAIN;
-        let retry_after = STEP.mul_f64(steps).max(RETRY_LEAST);
+        let intervals = (draw - admitted_fraction) / INCREASE_STEP;
+        let retry_after = CONTROL_INTERVAL.mul_f64(intervals).max(MIN_RETRY_DELAY);
         let excess = Duration::from_secs_f64(load.excess() / 1e3);
-        AdmissionReply::TurnedAway { retry_after, share, excess }
+        AdmissionReply::Rejected { retry_after, admitted_fraction, excess }
     }
 }
--- a/src/core/config/change.rs
+++ b/src/core/config/change.rs
@@ -1,4 +1,4 @@
-//! Changes and what they set.
+//! Entries of the configuration's change log and the checks of their values.
 
 use std::time::Duration;
 
@@ -10,13 +10,12 @@
 use crate::core::ids::{ConfigVersion, DefinitionName, Tokens, WorkspaceId};
 use crate::core::timeline::CausalStamp;
 
-/// A workspace as its operator set it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkspaceSpec {
     pub id: WorkspaceId,
     pub class: ServiceClass,
     pub budget: Tokens,
-    /// Share within its class, 1 to 1000.
+    /// Share within the class, 1 to 1000.
     pub priority: u16,
     pub retired: bool,
 }
@@ -34,7 +33,6 @@
     pub retired: bool,
 }
 
-/// What a change sets.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "object", rename_all = "snake_case")]
 pub enum ChangeBody {
@@ -43,7 +41,6 @@
     EngineGroup(EngineGroupSpec),
 }
 
-/// One entry of the change log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigChange {
     pub version: ConfigVersion,
@@ -51,35 +48,35 @@
     pub body: ChangeBody,
 }
 
-const PRIORITY_MAX: u16 = 1000;
-const NAME_MAX: usize = 64;
-const SHARED_PREFIX_MAX: usize = 256 * 1024;
+const MAX_PRIORITY: u16 = 1000;
+const MAX_NAME_BYTES: usize = 64;
+const MAX_SHARED_PREFIX_BYTES: usize = 256 * 1024;
 
-/// A value an operator may not set.
+/// A value that is out of its allowed range.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{field} is '{value}', but must be {allowed}")]
-pub struct SpecFault {
+pub struct InvalidSpec {
     pub field: &'static str,
     pub value: Box<str>,
     pub allowed: &'static str,
 }
 
-impl SpecFault {
+impl InvalidSpec {
     pub(super) fn new(field: &'static str, value: impl ToString, allowed: &'static str) -> Self {
         Self { field, value: value.to_string().into(), allowed }
     }
 }
 
-pub(super) fn check_name(field: &'static str, name: &str) -> Result<(), SpecFault> {
+pub(super) fn check_name(field: &'static str, name: &str) -> Result<(), InvalidSpec> {
     let plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-    if name.is_empty() || name.len() > NAME_MAX || !name.chars().all(plain) {
-        return Err(SpecFault::new(field, name, "1 to 64 characters of a-z, 0-9 and '-'"));
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.chars().all(plain) {
+        return Err(InvalidSpec::new(field, name, "1 to 64 characters of a-z, 0-9 and '-'"));
     }
     Ok(())
 }
 
 impl ChangeBody {
-    /// Key of the object's row below the configuration prefix of the table.
+    /// Key of the object's row, relative to the configuration prefix of the table.
     pub fn key(&self) -> Box<str> {
         match self {
             Self::Workspace(spec) => format!("workspace/{}", spec.id).into(),
@@ -88,8 +85,8 @@
         }
     }
 
-    /// Checks the values by themselves.
-    pub fn check(&self) -> Result<(), SpecFault> {
+    /// Checks the values without reference to other objects.
+    pub fn check(&self) -> Result<(), InvalidSpec> {
         match self {
             Self::Workspace(spec) => spec.check(),
             Self::Definition(spec) => spec.check(),
@@ -99,34 +96,34 @@
 }
 
 impl WorkspaceSpec {
-    fn check(&self) -> Result<(), SpecFault> {
+    fn check(&self) -> Result<(), InvalidSpec> {
         check_name("workspace id", &self.id)?;
-        if self.priority == 0 || self.priority > PRIORITY_MAX {
-            return Err(SpecFault::new("priority", self.priority, "1 to 1000"));
+        if self.priority == 0 || self.priority > MAX_PRIORITY {
+            return Err(InvalidSpec::new("priority", self.priority, "1 to 1000"));
         }
         Ok(())
     }
 }
 
 impl DefinitionSpec {
-    fn check(&self) -> Result<(), SpecFault> {
+    fn check(&self) -> Result<(), InvalidSpec> {
         check_name("definition name", &self.name)?;
         check_name("workspace id", &self.workspace)?;
         if self.model.is_empty() {
-            return Err(SpecFault::new("model", &self.model, "the name of a model"));
+            return Err(InvalidSpec::new("model", &self.model, "the name of a model"));
         }
         if self.max_turns == 0 {
-            return Err(SpecFault::new("max_turns", self.max_turns, "at least 1"));
+            return Err(InvalidSpec::new("max_turns", self.max_turns, "at least 1"));
         }
         if self.max_tokens == 0 {
-            return Err(SpecFault::new("max_tokens", self.max_tokens, "at least 1"));
+            return Err(InvalidSpec::new("max_tokens", self.max_tokens, "at least 1"));
         }
         if self.idle_limit.is_zero() {
-            return Err(SpecFault::new("idle_seconds", 0, "at least 1"));
+            return Err(InvalidSpec::new("idle_seconds", 0, "at least 1"));
         }
-        if self.shared_prefix.len() > SHARED_PREFIX_MAX {
+        if self.shared_prefix.len() > MAX_SHARED_PREFIX_BYTES {
             let length = self.shared_prefix.len();
-            return Err(SpecFault::new("shared_prefix length", length, "at most 262144 bytes"));
+            return Err(InvalidSpec::new("shared_prefix length", length, "at most 262144 bytes"));
         }
         Ok(())
     }
--- a/src/core/dispatch/policy.rs
+++ b/src/core/dispatch/policy.rs
@@ -1,4 +1,4 @@
-//! Orders of a queue.
+//! Orders in which an engine's queue is served.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -8,84 +8,82 @@
 use super::slots::{ServiceClass, SlotRequest};
 use crate::core::ids::{Tokens, WorkspaceId};
 
-/// Chooses who gets the next free slot.
 pub trait QueuePolicy {
     /// Index into `waiting`, or `None` if it is empty.
     fn pick(&self, waiting: &[SlotRequest], now: Instant) -> Option<usize>;
 
-    /// Told of every grant, for policies that keep shares.
-    fn granted(&mut self, _request: &SlotRequest) {}
+    /// Called for every grant.
+    fn record_grant(&mut self, _request: &SlotRequest) {}
 }
 
-/// Paying before trial; within a class the workspace with the least weighted service; within a
-/// workspace the program with the least service. Waiting makes up for service attained, and one
-/// grant in twenty goes to trial work that waits, so that nothing starves.
+/// Orders by class, the workspace's weighted service and the program's attained service. Aging and
+/// a minimum rate of trial grants prevent starvation.
 #[derive(Debug, Default)]
-pub struct LeastAttained {
-    /// Weighted service of each workspace, and the level a newcomer starts at.
-    shares: BTreeMap<WorkspaceId, f64>,
+pub struct LeastAttainedService {
+    /// Weighted service of each workspace.
+    service: BTreeMap<WorkspaceId, f64>,
+    /// Weighted service at which a new workspace starts.
     floor: f64,
-    /// Grants to paying work since the last one to trial work.
+    /// Since the last grant to trial work.
     paying_grants: u32,
 }
 
-/// Trial work comes after so many paying grants, however much paying work waits. Promoting it by
-/// age instead let a surge's whole backlog into the paying class, and no call lives long enough to
-/// be promoted when its deadline is shorter than the age.
+/// A ratio instead of promotion by age, which would promote the entire backlog of a surge, or
+/// nothing where deadlines are shorter than the age.
 const PAYING_GRANTS_PER_TRIAL: u32 = 19;
-/// Service a program is forgiven for each second its call waits.
+/// Deducted from a program's attained service for each second that its call waits.
 const AGING_TOKENS_PER_SECOND: Tokens = 200;
 
-impl LeastAttained {
-    fn share(&self, workspace: &str) -> f64 {
-        self.shares.get(workspace).copied().unwrap_or(self.floor).max(self.floor)
+impl LeastAttainedService {
+    fn service(&self, workspace: &str) -> f64 {
+        self.service.get(workspace).copied().unwrap_or(self.floor).max(self.floor)
     }
 }
 
-impl QueuePolicy for LeastAttained {
+impl QueuePolicy for LeastAttainedService {
     fn pick(&self, waiting: &[SlotRequest], now: Instant) -> Option<usize> {
         let trial_turn = self.paying_grants >= PAYING_GRANTS_PER_TRIAL;
         let rank = |index: &usize| {
             let request = &waiting[*index];
             let waited = now.saturating_duration_since(request.arrived);
-            let forgiven = waited.as_millis() as Tokens * AGING_TOKENS_PER_SECOND / 1000;
-            let share = (self.share(&request.workspace) * 1000.0) as u64;
-            let attained = request.attained.saturating_sub(forgiven);
+            let aging_credit = waited.as_millis() as Tokens * AGING_TOKENS_PER_SECOND / 1000;
+            let service = (self.service(&request.workspace) * 1000.0) as u64;
+            let attained = request.attained.saturating_sub(aging_credit);
             let after = (request.class == ServiceClass::Paying) == trial_turn;
-            (after, share, attained, request.arrived)
+            (after, service, attained, request.arrived)
         };
         (0..waiting.len()).min_by_key(rank)
     }
 
-    fn granted(&mut self, request: &SlotRequest) {
+    fn record_grant(&mut self, request: &SlotRequest) {
         self.paying_grants = match request.class {
             ServiceClass::Paying => self.paying_grants.saturating_add(1),
             ServiceClass::Trial => 0,
         };
-        let share = self.share(&request.workspace);
-        self.floor = self.floor.max(share.min(self.floor + 1.0));
+        let service = self.service(&request.workspace);
+        self.floor = self.floor.max(service.min(self.floor + 1.0));
         let cost = f64::from(request.tokens.max(1)) / f64::from(request.weight.max(1));
-        self.shares.insert(request.workspace.clone(), share + cost);
-        let lowest = self.shares.values().copied().fold(f64::INFINITY, f64::min);
+        self.service.insert(request.workspace.clone(), service + cost);
+        let lowest = self.service.values().copied().fold(f64::INFINITY, f64::min);
         self.floor = self.floor.max(lowest);
     }
 }
 
-/// In order of arrival; the first baseline.
+/// Baseline.
 #[derive(Debug, Default)]
-pub struct FirstCome;
+pub struct FirstComeFirstServed;
 
-impl QueuePolicy for FirstCome {
+impl QueuePolicy for FirstComeFirstServed {
     fn pick(&self, waiting: &[SlotRequest], _now: Instant) -> Option<usize> {
         (0..waiting.len()).min_by_key(|index| (waiting[*index].arrived, waiting[*index].permit))
     }
 }
 
-/// Paying before trial and short calls first, blind to programs; the second baseline.
+/// Baseline that ignores programs: paying before trial, then the shortest call.
 #[derive(Debug, Default)]
-pub struct PerCall;
+pub struct ShortestCallFirst;
 
-impl QueuePolicy for PerCall {
+impl QueuePolicy for ShortestCallFirst {
     fn pick(&self, waiting: &[SlotRequest], _now: Instant) -> Option<usize> {
         let rank = |index: &usize| {
             let request = &waiting[*index];
--- a/src/core/dispatch/slots.rs
+++ b/src/core/dispatch/slots.rs
@@ -1,4 +1,4 @@
-//! The slots of one engine, handed out by the one instance that owns it.
+//! Queue and slots of one engine, managed by the instance that owns it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,7 +10,6 @@
 use crate::core::cache::WorkingSet;
 use crate::core::ids::{InstanceId, PermitId, ProgramId, Tokens, WorkspaceId};
 
-/// Whether a workspace pays.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceClass {
@@ -18,65 +17,62 @@
     Trial,
 }
 
-/// A call that asks for a slot.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SlotRequest {
-    /// Chosen by the holder and never used twice, so that it can give the slot back although the
-    /// answer to its request was lost.
+    /// Allocated by the holder and never reused, so that it can release the slot although the reply
+    /// to its request was lost.
     pub permit: PermitId,
-    /// The instance that runs the program; its slots are freed when it dies.
+    /// The instance that runs the program.
     pub holder: InstanceId,
     pub program: ProgramId,
     pub workspace: WorkspaceId,
     pub class: ServiceClass,
-    /// The workspace's priority, 1 to 1000.
+    /// Of the workspace, 1 to 1000.
     pub weight: u16,
-    /// Tokens the program has had so far.
+    /// Service the program has received so far.
     pub attained: Tokens,
-    /// Tokens this call may take, for the share of its workspace.
+    /// Upper bound, charged to the workspace's service.
     pub tokens: u32,
-    /// The part of them that takes memory of its own: all but the shared prefix.
+    /// Those that need memory of their own: all but the shared prefix.
     pub own_tokens: u32,
-    /// Whether it is the first call of a program that nobody waits for.
-    pub newcomer: bool,
+    /// First call of a program without a parent, for which no engine holds memory.
+    pub cold: bool,
     pub arrived: Instant,
-    /// When waiting longer is useless.
     pub deadline: Instant,
 }
 
-/// What happened to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SlotEvent {
     Granted(PermitId),
-    /// Its deadline passed while it waited.
+    /// The deadline passed in the queue, or the engine takes no new work.
     Expired(PermitId, ServiceClass),
 }
 
-/// A slot that is to be given back before its call has ended.
+/// Asks a holder to release a permit before its call has ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SlotRevocation {
     pub permit: PermitId,
     pub holder: InstanceId,
 }
 
-/// Load of an engine as one class meets it.
+/// Load of an engine from the point of view of one class.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ClassLoad {
-    /// Calls running and waiting that are not behind the class.
+    /// Calls running and waiting, without those of lower classes.
     pub load: usize,
     /// Expected wait of a request that joins the queue now.
     pub wait: Duration,
 }
 
-/// Load of an engine as its owner tells it.
+/// Load of an engine as reported by its owner.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EngineLoad {
     pub paying: ClassLoad,
     pub trial: ClassLoad,
-    /// Memory its programs need, in per mille of what it has.
+    /// Memory demand of its programs, in per mille of its memory.
     pub pressure: u16,
-    /// How long a call holds a slot there; zero if that is not known yet.
-    pub hold: Duration,
+    /// Time that a call occupies a slot; zero if unknown.
+    pub occupancy: Duration,
 }
 
 impl ClassLoad {
@@ -89,7 +85,7 @@
 }
 
 impl EngineLoad {
-    /// The mean of several engines; nothing waits if there are none.
+    /// Zero if there are no engines.
     pub fn mean(loads: impl IntoIterator<Item = Self>) -> Self {
         let loads: Vec<_> = loads.into_iter().collect();
         let class = |class| ClassLoad::mean(&loads.iter().map(|l| l.of(class)).collect::<Vec<_>>());
@@ -98,7 +94,8 @@
             paying: class(ServiceClass::Paying),
             trial: class(ServiceClass::Trial),
             pressure: (pressure / loads.len().max(1)) as u16,
-            hold: loads.iter().map(|load| load.hold).sum::<Duration>() / loads.len().max(1) as u32,
+            occupancy: loads.iter().map(|load| load.occupancy).sum::<Duration>()
+                / loads.len().max(1) as u32,
         }
     }
 
@@ -110,16 +107,16 @@
     }
 }
 
-/// Pressure, in per mille of the memory, above which newcomers wait.
+/// Memory pressure, in per mille, above which calls of cold programs wait in the queue.
 ///
-/// Trial programs would otherwise fill the memory and hold paying newcomers back.
+/// A lower limit for trial programs keeps them from filling the memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NewcomerBounds {
+pub struct ColdProgramLimits {
     pub paying: u16,
     pub trial: u16,
 }
 
-impl NewcomerBounds {
+impl ColdProgramLimits {
     fn of(&self, class: ServiceClass) -> u16 {
         match class {
             ServiceClass::Paying => self.paying,
@@ -132,117 +129,112 @@
 struct RunningSlot {
     request: SlotRequest,
     since: Instant,
-    /// Whether its holder has been asked to give it back.
     revoked: bool,
-    /// Whether it was given to trial work though paying work waited.
-    kept: bool,
+    /// Exempt from preemption.
+    reserved: bool,
 }
 
 /// Slots and queue of one engine.
 pub struct EngineSlots {
     slots: usize,
     memory: WorkingSet,
-    admission: Option<NewcomerBounds>,
+    cold_limits: Option<ColdProgramLimits>,
     policy: Box<dyn QueuePolicy>,
     running: BTreeMap<PermitId, RunningSlot>,
     waiting: Vec<SlotRequest>,
-    /// Mean time a slot stayed taken, for the time to return given with refusals.
-    mean_hold: Duration,
-    /// Whether any call has ended here yet.
-    measured: bool,
+    mean_occupancy: Duration,
+    /// Until the first call ends, `mean_occupancy` is only a default.
+    has_samples: bool,
 }
 
-/// One slot in so many may be kept by trial calls.
-const KEPT_SLOTS_PART: usize = 20;
-const FIRST_MEAN_HOLD: Duration = Duration::from_secs(2);
-const MEAN_HOLD_WEIGHT: u32 = 8;
-/// No call that an engine took is over sooner; it refused, which tells nothing of its speed.
-const LEAST_HOLD: Duration = Duration::from_millis(5);
+/// One slot in this many may be reserved by trial calls.
+const RESERVED_SLOTS_DIVISOR: usize = 20;
+const INITIAL_MEAN_OCCUPANCY: Duration = Duration::from_secs(2);
+const MEAN_OCCUPANCY_SAMPLES: u32 = 8;
+/// Shorter calls were refused by the engine and are no sample of its speed.
+const MIN_OCCUPANCY: Duration = Duration::from_millis(5);
 
 impl EngineSlots {
     pub fn new(slots: usize, memory: WorkingSet, policy: Box<dyn QueuePolicy>) -> Self {
         Self {
             slots,
             memory,
-            admission: None,
+            cold_limits: None,
             policy,
             running: BTreeMap::new(),
             waiting: Vec::new(),
-            mean_hold: FIRST_MEAN_HOLD,
-            measured: false,
+            mean_occupancy: INITIAL_MEAN_OCCUPANCY,
+            has_samples: false,
         }
     }
 
-    /// Holds newcomers back while the programs need more than the bounds say.
-    pub fn hold_newcomers(&mut self, bounds: NewcomerBounds) {
-        self.admission = Some(bounds);
+    pub fn limit_cold_programs(&mut self, limits: ColdProgramLimits) {
+        self.cold_limits = Some(limits);
     }
 
-    /// Puts a request into the queue; [`EngineSlots::advance`] tells when it is its turn.
+    /// The outcome is an event of a later [`EngineSlots::advance`].
     pub fn enqueue(&mut self, request: SlotRequest) {
         self.waiting.push(request);
     }
 
-    /// Grants what can be granted and expires what waited too long.
+    /// Expires overdue requests, then grants free slots.
     pub fn advance(&mut self, now: Instant) -> Vec<SlotEvent> {
         let mut events = self.expire(now);
-        let held_back = self.hold_back();
+        let deferred = self.defer_cold_calls();
         while self.running.len() < self.slots {
             let Some(index) = self.policy.pick(&self.waiting, now) else { break };
             let next = self.waiting.swap_remove(index);
-            let kept = self.is_kept(&next);
-            self.policy.granted(&next);
-            self.memory.enter(next.program, next.own_tokens.into(), now);
+            let reserved = self.is_reserved(&next);
+            self.policy.record_grant(&next);
+            self.memory.insert(next.program, next.own_tokens.into(), now);
             events.push(SlotEvent::Granted(next.permit));
             self.running.insert(
                 next.permit,
-                RunningSlot { request: next, since: now, revoked: false, kept },
+                RunningSlot { request: next, since: now, revoked: false, reserved },
             );
         }
-        self.waiting.extend(held_back);
+        self.waiting.extend(deferred);
         events
     }
 
-    /// Takes newcomers out of the queue that the memory has no room for.
+    /// Removes the cold programs that don't fit into memory from the queue and returns them.
     ///
-    /// Each would push the prefix of a paused program out, which then computes it again and pushes
-    /// the next one out: everybody's calls grow long and no more programs end than before.
-    fn hold_back(&mut self) -> Vec<SlotRequest> {
-        let Some(bounds) = self.admission else { return Vec::new() };
+    /// Each would evict the prefix of a paused program, whose next call then evicts another one:
+    /// the engine thrashes.
+    fn defer_cold_calls(&mut self) -> Vec<SlotRequest> {
+        let Some(limits) = self.cold_limits else { return Vec::new() };
         let mut admitted: Tokens = 0;
-        let mut held_back = Vec::new();
+        let mut deferred = Vec::new();
         self.waiting.sort_by_key(|waiting| (waiting.class, waiting.arrived, waiting.permit));
         self.waiting.retain(|waiting| {
             let tokens = Tokens::from(waiting.own_tokens);
-            let per_mille = bounds.of(waiting.class);
-            if !waiting.newcomer {
+            let per_mille = limits.of(waiting.class);
+            if !waiting.cold {
                 return true;
             }
-            if self.memory.has_room(tokens, admitted, per_mille) {
+            if self.memory.has_capacity(tokens, admitted, per_mille) {
                 admitted += tokens;
                 return true;
             }
-            held_back.push(waiting.clone());
+            deferred.push(waiting.clone());
             false
         });
-        held_back
+        deferred
     }
 
-    /// Whether a request that is granted now keeps its slot, whatever paying work waits.
-    ///
-    /// The grant in twenty that goes to trial work would otherwise be taken back at once, and no
-    /// trial call would end in a long paying surge. Only one slot in twenty is kept: trial calls
-    /// may be so much longer than paying ones that they gather in the slots.
-    fn is_kept(&self, granted: &SlotRequest) -> bool {
-        let passed = self.waiting.iter().any(|waiting| waiting.class < granted.class);
-        let kept = self.running.values().filter(|slot| slot.kept).count();
-        passed && kept < self.slots.div_ceil(KEPT_SLOTS_PART)
+    /// Whether a request granted now is exempt from preemption: if it overtakes paying work, it
+    /// would be preempted at once. The number of such slots is bounded, as long trial calls would
+    /// otherwise accumulate in them.
+    fn is_reserved(&self, granted: &SlotRequest) -> bool {
+        let overtakes = self.waiting.iter().any(|waiting| waiting.class < granted.class);
+        let reserved = self.running.values().filter(|slot| slot.reserved).count();
+        overtakes && reserved < self.slots.div_ceil(RESERVED_SLOTS_DIVISOR)
     }
 
-    fn is_held_back(&self, request: &SlotRequest) -> bool {
-        let Some(bounds) = self.admission else { return false };
-        let per_mille = bounds.of(request.class);
-        request.newcomer && !self.memory.has_room(request.own_tokens.into(), 0, per_mille)
+    fn is_deferred(&self, request: &SlotRequest) -> bool {
+        let Some(limits) = self.cold_limits else { return false };
+        let per_mille = limits.of(request.class);
+        request.cold && !self.memory.has_capacity(request.own_tokens.into(), 0, per_mille)
     }
 
     fn expire(&mut self, now: Instant) -> Vec<SlotEvent> {
@@ -258,93 +250,91 @@
         expired
     }
 
-    /// Gives a slot back, or leaves the queue. Repeating it is harmless.
-    pub fn finish(&mut self, permit: PermitId, now: Instant) {
+    /// Releases a slot or cancels a waiting request. Idempotent.
+    pub fn release(&mut self, permit: PermitId, now: Instant) {
         self.waiting.retain(|waiting| waiting.permit != permit);
         if let Some(slot) = self.running.remove(&permit) {
-            let held = now - slot.since;
-            if held < LEAST_HOLD {
+            let occupancy = now - slot.since;
+            if occupancy < MIN_OCCUPANCY {
                 return;
             }
-            if !self.measured {
-                self.mean_hold = held;
+            if !self.has_samples {
+                self.mean_occupancy = occupancy;
             }
-            let others = self.mean_hold * (MEAN_HOLD_WEIGHT - 1);
-            self.mean_hold = (others + held) / MEAN_HOLD_WEIGHT;
-            self.measured = true;
+            let others = self.mean_occupancy * (MEAN_OCCUPANCY_SAMPLES - 1);
+            self.mean_occupancy = (others + occupancy) / MEAN_OCCUPANCY_SAMPLES;
+            self.has_samples = true;
         }
     }
 
-    /// Empties the queue of an engine that takes no new work; what runs there goes on.
+    /// Rejects all waiting requests of an engine that takes no new work; running calls go on.
     pub fn refuse_waiting(&mut self) -> Vec<SlotEvent> {
         let expired = |waiting: SlotRequest| SlotEvent::Expired(waiting.permit, waiting.class);
         self.waiting.drain(..).map(expired).collect()
     }
 
-    /// Forgets a program that has ended.
     pub fn end_program(&mut self, program: ProgramId) {
-        self.memory.leave(program);
+        self.memory.remove(program);
     }
 
-    /// Frees what a dead instance held or waited for.
+    /// Releases the slots and requests of an instance that died.
     pub fn drop_holder(&mut self, holder: &str) {
         self.waiting.retain(|waiting| &*waiting.holder != holder);
         self.running.retain(|_, slot| &*slot.request.holder != holder);
     }
 
-    /// Takes a slot from a trial call for paying work that has waited `limit`: from the youngest,
-    /// which loses least. The holder has to be told, and finishes the permit when it has stopped.
+    /// Revokes the slot of the youngest trial call, which loses least work, for a paying call that
+    /// has waited `limit`. The caller notifies the holder, which releases the permit.
     ///
-    /// A newcomer that memory holds back is not helped by a slot: the slot would go to the next
-    /// trial call, which would be cancelled in its turn, without end.
+    /// Deferred calls don't count: the slot would go to another trial call, to be preempted again.
     pub fn preempt(&mut self, now: Instant, limit: Duration) -> Option<SlotRevocation> {
         let starving = self.waiting.iter().filter(|waiting| {
             let late = now.saturating_duration_since(waiting.arrived) >= limit;
-            waiting.class == ServiceClass::Paying && late && !self.is_held_back(waiting)
+            waiting.class == ServiceClass::Paying && late && !self.is_deferred(waiting)
         });
         let revoked = self.running.values().filter(|slot| slot.revoked).count();
         if starving.count() <= revoked || self.running.len() < self.slots {
             return None;
         }
         let trial = |slot: &RunningSlot| slot.request.class == ServiceClass::Trial;
-        let taken =
-            self.running.iter_mut().filter(|(_, slot)| trial(slot) && !slot.revoked && !slot.kept);
-        let (permit, slot) = taken.max_by_key(|(_, slot)| slot.since)?;
+        let candidates = self
+            .running
+            .iter_mut()
+            .filter(|(_, slot)| trial(slot) && !slot.revoked && !slot.reserved);
+        let (permit, slot) = candidates.max_by_key(|(_, slot)| slot.since)?;
         slot.revoked = true;
         Some(SlotRevocation { permit: *permit, holder: slot.request.holder.clone() })
     }
 
-    /// How the engine looks to both classes.
     pub fn load(&self, now: Instant) -> EngineLoad {
         EngineLoad {
             paying: self.class_load(ServiceClass::Paying),
             trial: self.class_load(ServiceClass::Trial),
             pressure: self.memory.pressure(),
-            hold: self.hold(now),
+            occupancy: self.occupancy(now),
         }
     }
 
-    /// The mean hold, or the mean age of the calls that run now if that is more: an engine that
-    /// has become slow shows it before the first of its slow calls ends.
-    fn hold(&self, now: Instant) -> Duration {
+    /// The mean occupancy, or the mean age of running calls if greater, which detects a slow engine
+    /// before its first slow call ends.
+    fn occupancy(&self, now: Instant) -> Duration {
         let ages = self.running.values().map(|slot| now.saturating_duration_since(slot.since));
         let mean_age = ages.sum::<Duration>() / self.running.len().max(1) as u32;
-        let mean_hold = if self.measured { self.mean_hold } else { Duration::ZERO };
-        mean_hold.max(mean_age)
+        let mean_occupancy = if self.has_samples { self.mean_occupancy } else { Duration::ZERO };
+        mean_occupancy.max(mean_age)
     }
 
-    /// Counts no work behind the class: a queue of trial calls would otherwise look like a wait to
-    /// paying calls, which pass it, and drive them away from the engine that holds their prefix.
+    /// Leaves out lower classes: paying calls overtake trial calls, so a queue of these must not
+    /// divert them from the engine that holds their prefix.
     fn class_load(&self, class: ServiceClass) -> ClassLoad {
         let waiting = self.waiting.iter().filter(|waiting| waiting.class <= class).count();
         let running = self.running.values().filter(|slot| slot.request.class <= class).count();
         let full = self.running.len() >= self.slots;
         let ahead = if full { waiting as u32 + 1 } else { 0 };
-        let wait = self.mean_hold * ahead / self.slots as u32;
+        let wait = self.mean_occupancy * ahead / self.slots as u32;
         ClassLoad { load: running + waiting, wait }
     }
 
-    /// When a deadline comes next, if anything waits.
     pub fn next_deadline(&self) -> Option<Instant> {
         self.waiting.iter().map(|waiting| waiting.deadline).min()
     }
--- a/src/core/upstreams/choice.rs
+++ b/src/core/upstreams/choice.rs
@@ -1,99 +1,93 @@
-//! Which upstream a request goes to.
+//! Chooses the upstream with the lowest expected cost for a request.
 
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::table::TrackedUpstream;
-use super::{BirthMillis, PromptPart, UpstreamTable};
+use super::{PromptBlock, StartMillis, UpstreamTable};
 use crate::core::ids::UpstreamId;
 
-/// Prompt tokens that an engine is taken to read in a millisecond.
+/// Assumed prefill rate of an engine.
 const PREFILL_TOKENS_PER_MS: f64 = 32.0;
-/// Weight of reading a prompt anew against waiting: it also delays all others at that engine.
-const MOVE_FACTOR: f64 = 2.0;
-/// Tokens of new input that the engine of the turn before reads; a usual turn's.
+/// Prefill weighs more than waiting because it also delays all other requests at the engine.
+const PREFILL_FACTOR: f64 = 2.0;
+/// Tokens of new input assumed where the engine holds the previous turn.
 const NEW_INPUT_TOKENS: u64 = 1_000;
-/// Delay that each request of this instance at an engine adds, in milliseconds: others' prompts
-/// are read between its tokens.
+/// Delay for each request in flight: prefills of others run between its tokens.
 const RUNNING_COST_MS: f64 = 3.0;
-/// What an upstream in another zone costs, in milliseconds: the longer way and the priced bytes.
-const FAR_COST_MS: f64 = 30.0;
-/// Difference between one upstream and the next in an object's order, in milliseconds. It gathers
-/// the requests about an object on the same upstreams of all instances, and yields to load.
-const ORDER_COST_MS: f64 = 6.0;
-/// Upstreams of an order that a choice looks at, and the last place that costs more than the one before:
-/// among thousands, chance and the order of an object must not outweigh what an upstream holds.
-const NEAR_RANKS: usize = 32;
-/// Upstreams that hold part of a prompt at which a choice looks besides.
+/// Covers the longer round trip and the price of cross-zone traffic.
+const CROSS_ZONE_COST_MS: f64 = 30.0;
+/// Cost of each rank in the order of an affinity key. It concentrates a key's requests on the same
+/// upstreams across instances, but yields to load.
+const RANK_COST_MS: f64 = 6.0;
+/// Upstreams taken from the order, and the rank beyond which the cost stays constant: among
+/// thousands, the rank must not outweigh a cached prompt.
+const MAX_RANKED: usize = 32;
+/// Holders of prompt blocks that are considered in addition to the ranked upstreams.
 const MAX_HOLDERS: usize = 64;
-/// Difference that chance makes between upstreams that cost the same, in milliseconds.
-const CHANCE_COST_MS: f64 = 2.0;
-/// What a new connection costs, in milliseconds: a way there and back, and its price.
+/// Spreads requests without an affinity key over upstreams of equal cost.
+const TIE_BREAK_COST_MS: f64 = 2.0;
+/// Covers a round trip and the price of a new connection.
 const CONNECT_COST_MS: f64 = 10.0;
-/// Weight of an upstream's unusual silence: after another half second it costs more than reading any
-/// usual prompt anew elsewhere, while answers that are only late pass.
-const SILENCE_FACTOR: f64 = 3.0;
-/// What an upstream that failed lately costs: it is taken only where there is no other.
-const ASIDE_COST_MS: f64 = 10_000.0;
-/// Usual time of a request apart from its prompt, in milliseconds; a slow upstream multiplies it.
-const WORK_COST_MS: f64 = 300.0;
-/// Slowness that is taken for chance: times of single requests differ by about as much.
-const PACE_TOLERANCE: f64 = 1.3;
+/// Weight of an overdue first byte: an upstream that stalls soon costs more than a prefill elsewhere,
+/// one that is only late does not.
+const OVERDUE_FACTOR: f64 = 3.0;
+/// High enough that an ejected upstream is chosen only as a last resort.
+const EJECTED_COST_MS: f64 = 10_000.0;
+/// Typical duration of a request without prefill; multiplied by the excess latency ratio.
+const REQUEST_COST_MS: f64 = 300.0;
+/// Latency ratio within the variance of single requests.
+const LATENCY_RATIO_TOLERANCE: f64 = 1.3;
 
-/// What a request asks of an upstream.
 #[derive(Clone, Copy)]
 pub struct ChoiceRequest<'a> {
     pub service: &'a str,
     /// The zone of this instance.
     pub zone: &'a str,
-    pub parts: &'a [PromptPart],
-    /// The engine that holds what the request continues from.
+    pub blocks: &'a [PromptBlock],
+    /// The engine that holds the turn that the request continues.
     pub holder: Option<&'a UpstreamId>,
-    /// What requests share that go best to the same upstream.
+    /// Requests with the same key prefer the same upstreams.
     pub affinity: Option<&'a str>,
-    /// Upstreams that have been tried.
+    /// Upstreams to exclude.
     pub tried: &'a [UpstreamId],
-    /// Whether an idle connection to an address is kept.
+    /// Returns whether the pool has an idle connection to an address.
     pub connected: &'a dyn Fn(&str) -> bool,
-    /// A number that makes equal candidates differ from instance to instance.
+    /// Random number that orders the candidates of a request without an affinity key.
     pub salt: u64,
     pub now: Instant,
 }
 
-/// A chosen upstream, and why.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UpstreamChoice {
     pub id: UpstreamId,
-    pub born: Option<BirthMillis>,
+    pub started_at: Option<StartMillis>,
     pub address: Box<str>,
-    /// What the choice is expected to cost, in milliseconds.
     pub cost_ms: f64,
     pub candidates: usize,
-    /// Attempts of this instance under way there.
+    /// Attempts of this instance in flight there.
     pub running: u32,
-    /// Time the upstream is expected to read the prompt, in milliseconds.
     pub prefill_ms: f64,
 }
 
-/// An upstream that may be chosen, with its place in the request's order.
+/// A candidate with its rank in the order of the request.
 type RankedUpstream<'a> = (usize, &'a TrackedUpstream);
 
 impl UpstreamTable {
-    /// The cheapest ready upstream that was not tried yet.
     pub fn choose(&self, request: &ChoiceRequest<'_>) -> Option<UpstreamChoice> {
-        let near = self.candidates(request, NEAR_RANKS);
-        let found = self.cheapest(&near, request);
-        // Where all of these have failed, any other may be better.
-        let failed = found.is_none_or(|(cost, _)| cost >= ASIDE_COST_MS);
+        let ranked = self.candidates(request, MAX_RANKED);
+        let found = self.cheapest(&ranked, request);
+        // If all of these are ejected, an upstream outside them may not be.
+        let failed = found.is_none_or(|(cost, _)| cost >= EJECTED_COST_MS);
         let (candidates, (cost_ms, known)) = if failed {
             let all = self.candidates(request, usize::MAX);
             (all.len(), self.cheapest(&all, request)?)
         } else {
-            (near.len(), found?)
+            (ranked.len(), found?)
         };
         Some(UpstreamChoice {
             id: known.entry.id.clone(),
-            born: known.entry.born,
+            started_at: known.entry.started_at,
             address: known.entry.address.clone(),
             cost_ms,
             candidates,
@@ -112,86 +106,85 @@
         priced.min_by(|(a, _), (b, _)| a.total_cmp(b))
     }
 
-    /// The first upstreams in the order of the request's object, which is the same on every instance,
-    /// or by chance, and whatever else may be cheaper: those that hold part of its prompt, and those to
-    /// which connections may be kept.
+    /// The first `max` upstreams in the order of the affinity key or the salt, and others that may be
+    /// cheaper: holders of prompt blocks and upstreams that may have an idle connection.
     fn candidates<'a>(
         &'a self,
         request: &ChoiceRequest<'_>,
-        most: usize,
+        max: usize,
     ) -> Vec<RankedUpstream<'a>> {
         let key = request.affinity.map_or(request.salt, |key| xxh3_64(key.as_bytes()));
         let mut ranked: Vec<RankedUpstream<'a>> = Vec::new();
         self.index.visit(request.service, request.zone, key, |id| {
-            if let Some(known) = self.usable(id, request) {
+            if let Some(known) = self.available(id, request) {
                 ranked.push((ranked.len(), known));
             }
-            ranked.len() < most
+            ranked.len() < max
         });
-        if ranked.len() < most {
+        if ranked.len() < max {
             return ranked;
         }
-        // The last parts are a program's own, so those that hold them hold most of the prompt.
-        let parts = request.parts.iter().rev();
-        let holders = parts.filter_map(|part| self.resident.get(&part.part)).flatten();
+        // The last blocks are specific to a program: their holders have most of the prompt cached.
+        let blocks = request.blocks.iter().rev();
+        let holders = blocks.filter_map(|block| self.resident.get(&block.id)).flatten();
         let known = holders.take(MAX_HOLDERS).chain(self.recent.keys());
         let mut others: Vec<&UpstreamId> = known.chain(request.holder).collect();
         others.sort_unstable();
         others.dedup();
         for id in others {
-            let Some(known) = self.usable(id, request) else { continue };
-            if ranked[..most].iter().all(|(_, ranked)| ranked.entry.id != known.entry.id) {
-                ranked.push((most, known));
+            let Some(known) = self.available(id, request) else { continue };
+            if ranked[..max].iter().all(|(_, ranked)| ranked.entry.id != known.entry.id) {
+                ranked.push((max, known));
             }
         }
         ranked
     }
 
-    fn usable(&self, id: &UpstreamId, request: &ChoiceRequest<'_>) -> Option<&TrackedUpstream> {
+    fn available(&self, id: &UpstreamId, request: &ChoiceRequest<'_>) -> Option<&TrackedUpstream> {
         let known = self.upstreams.get(id)?;
-        let usable = *known.entry.service == *request.service
-            && self.is_usable(known, request.now)
+        let available = *known.entry.service == *request.service
+            && self.is_available(known, request.now)
             && !request.tried.contains(id);
-        usable.then_some(known)
+        available.then_some(known)
     }
 
     fn cost(&self, known: &TrackedUpstream, rank: usize, request: &ChoiceRequest<'_>) -> f64 {
         let entry = &known.entry;
-        let step = if request.affinity.is_some() { ORDER_COST_MS } else { CHANCE_COST_MS / 16.0 };
-        let mut cost = rank.min(NEAR_RANKS) as f64 * step;
+        let step = if request.affinity.is_some() { RANK_COST_MS } else { TIE_BREAK_COST_MS / 16.0 };
+        let mut cost = rank.min(MAX_RANKED) as f64 * step;
         cost += f64::from(known.health.running) * RUNNING_COST_MS;
-        cost += known.work.at(request.now);
-        cost += self.prefill_ms(known, request) * MOVE_FACTOR;
-        let slowness = known.health.pace(request.now) - PACE_TOLERANCE;
-        cost += slowness.max(0.0) * WORK_COST_MS;
-        let silence = known.health.silence(request.now);
-        cost += silence.as_secs_f64() * 1e3 * SILENCE_FACTOR;
+        cost += known.load.value_at(request.now);
+        cost += self.prefill_ms(known, request) * PREFILL_FACTOR;
+        let slowness = known.health.latency_ratio(request.now) - LATENCY_RATIO_TOLERANCE;
+        cost += slowness.max(0.0) * REQUEST_COST_MS;
+        let overdue = known.health.first_byte_overdue(request.now);
+        cost += overdue.as_secs_f64() * 1e3 * OVERDUE_FACTOR;
         cost += entry.warming.as_millis() as f64 / 10.0;
         if *entry.zone != *request.zone {
-            cost += FAR_COST_MS;
+            cost += CROSS_ZONE_COST_MS;
         }
         if !(request.connected)(&entry.address) {
             cost += CONNECT_COST_MS;
         }
-        if known.health.is_aside(request.now) {
-            cost += ASIDE_COST_MS;
+        if known.health.is_ejected(request.now) {
+            cost += EJECTED_COST_MS;
         }
         cost
     }
 
-    /// Time to read what of the prompt the upstream is not known to hold, in milliseconds.
+    /// Time to read the blocks that the upstream is not known to have cached.
     ///
-    /// A part counts only if all parts before it are held too; the engine that ran the turn before
-    /// holds all but the new input.
+    /// A block is cached only if all blocks before it are. The engine that ran the previous turn has
+    /// all but the new input.
     fn prefill_ms(&self, known: &TrackedUpstream, request: &ChoiceRequest<'_>) -> f64 {
         if request.holder == Some(&known.entry.id) {
-            let last = request.parts.last().map_or(0, |part| part.tokens);
+            let last = request.blocks.last().map_or(0, |block| block.tokens);
             return last.min(NEW_INPUT_TOKENS) as f64 / PREFILL_TOKENS_PER_MS;
         }
-        let held = request.parts.iter().take_while(|part| {
-            self.resident.get(&part.part).is_some_and(|ids| ids.contains(&known.entry.id))
+        let held = request.blocks.iter().take_while(|block| {
+            self.resident.get(&block.id).is_some_and(|ids| ids.contains(&known.entry.id))
         });
-        let missing = request.parts.iter().skip(held.count()).map(|part| part.tokens);
+        let missing = request.blocks.iter().skip(held.count()).map(|block| block.tokens);
         missing.sum::<u64>() as f64 / PREFILL_TOKENS_PER_MS
     }
 }
--- a/src/core/upstreams/health.rs
+++ b/src/core/upstreams/health.rs
@@ -1,109 +1,99 @@
-//! What real answers tell of an upstream; nothing is sent just to learn it.
+//! Passive health of an upstream, derived from its answers to real requests.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Shortest time an upstream is passed over after a failure: a restart of its process takes
-/// about as long.
-const ASIDE_MIN: Duration = Duration::from_millis(500);
-/// Longest time it is passed over; then one request may try it again.
-const ASIDE_MAX: Duration = Duration::from_secs(4);
-/// How long an upstream that was full is passed over: a few of its shortest requests end meanwhile.
-const FULL_ASIDE: Duration = Duration::from_millis(60);
-/// Broken answers in a row before an upstream is passed over: single ones befall sound upstreams.
-const BROKEN_LIMIT: u32 = 2;
-/// Share of the newest measurement in the running mean: about the last four count.
-const PACE_SHARE: f64 = 0.25;
-/// Time in which what was measured fades to 1/e: an upstream that is passed over for being slow is
-/// tried again, and one that is still slow is found out by a few requests.
-const PACE_FADE: Duration = Duration::from_secs(3);
-
-/// Silence of an attempt that says something about the upstream.
-const SILENCE_LIMIT: Duration = Duration::from_secs(1);
-
-/// How one attempt at an upstream ended.
+/// About the time that a restart of the process takes.
+const MIN_EJECTION: Duration = Duration::from_millis(500);
+const MAX_EJECTION: Duration = Duration::from_secs(4);
+/// Long enough for some short requests to complete.
+const FULL_EJECTION: Duration = Duration::from_millis(60);
+/// Consecutive broken answers before ejection: healthy upstreams break single ones off too.
+const BROKEN_THRESHOLD: u32 = 2;
+const LATENCY_RATIO_WEIGHT: f64 = 0.25;
+/// A slow upstream that gets no requests yields no samples; the decay lets it be tried again.
+const LATENCY_RATIO_DECAY: Duration = Duration::from_secs(3);
+
+/// Wait for the first byte beyond which an attempt counts against the upstream.
+const FIRST_BYTE_TIMEOUT: Duration = Duration::from_secs(1);
+
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// A whole answer.
     Answered,
-    /// It refused, unrun, for want of room.
+    /// Rejected for lack of capacity without being run.
     Full,
     /// No connection, or another upstream answers at its address.
     Unreachable,
-    /// The answer broke off or was not an answer.
+    /// The answer was truncated or malformed.
     Broken,
-    /// The caller left, or its deadline passed. It tells something only if the upstream had not said
-    /// a word for long.
+    /// The caller disconnected or its deadline passed. Counts as a failure only if the first byte
+    /// was overdue.
     Abandoned,
 }
 
-/// The passive health of one upstream.
 #[derive(Debug, Clone, Default)]
 pub struct UpstreamHealth {
-    /// Attempts under way from this instance.
+    /// Attempts of this instance in flight.
     pub running: u32,
     failures: u32,
     broken: u32,
-    aside_until: Option<Instant>,
-    pace: Option<(f64, Instant)>,
-    /// When the attempts began of which nothing was heard yet.
-    silent: Vec<Instant>,
+    ejected_until: Option<Instant>,
+    latency_ratio: Option<(f64, Instant)>,
+    /// Start times of the attempts without a first byte.
+    awaiting_first_byte: Vec<Instant>,
 }
 
-/// Work given to an upstream lately, fading with time: a rate, without counting it anew.
+/// Expected work of the attempts started at an upstream, as a sum with exponential decay.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct RecentWork {
+pub struct RecentLoad {
     millis: f64,
     at: Option<Instant>,
 }
 
-/// Time in which noted work fades to 1/e: some ten turns of an instance, and short against the
-/// seconds in which load moves.
-const WORK_FADE: Duration = Duration::from_secs(1);
+/// Short against the seconds in which load shifts between upstreams.
+const LOAD_DECAY: Duration = Duration::from_secs(1);
 
-impl RecentWork {
-    /// Work of the last second or so, in milliseconds.
-    pub fn at(&self, now: Instant) -> f64 {
+impl RecentLoad {
+    /// The decayed sum in milliseconds.
+    pub fn value_at(&self, now: Instant) -> f64 {
         let Some(at) = self.at else { return 0.0 };
-        let age = now.saturating_duration_since(at).as_secs_f64() / WORK_FADE.as_secs_f64();
+        let age = now.saturating_duration_since(at).as_secs_f64() / LOAD_DECAY.as_secs_f64();
         self.millis * (-age).exp()
     }
 
     pub fn add(&mut self, millis: f64, now: Instant) {
-        self.millis = self.at(now) + millis;
+        self.millis = self.value_at(now) + millis;
         self.at = Some(now);
     }
 }
 
 impl UpstreamHealth {
-    /// An attempt begins.
     pub fn started(&mut self, now: Instant) {
         self.running += 1;
-        self.silent.push(now);
+        self.awaiting_first_byte.push(now);
     }
 
-    /// The first bytes came of the attempt that began then; false if it was heard of before.
-    pub fn heard(&mut self, begun: Instant) -> bool {
-        let position = self.silent.iter().position(|at| *at == begun);
-        position.map(|position| self.silent.swap_remove(position)).is_some()
+    /// Returns false if the attempt that started at `started` is not waiting for its first byte.
+    pub fn record_first_byte(&mut self, started: Instant) -> bool {
+        let position = self.awaiting_first_byte.iter().position(|at| *at == started);
+        position.map(|position| self.awaiting_first_byte.swap_remove(position)).is_some()
     }
 
-    /// The attempt that began then has ended.
-    pub fn ended(&mut self, begun: Instant, result: AttemptResult, now: Instant) {
+    pub fn ended(&mut self, started: Instant, result: AttemptResult, now: Instant) {
         self.running = self.running.saturating_sub(1);
-        let silent = self.heard(begun) && begun + SILENCE_LIMIT <= now;
+        let overdue = self.record_first_byte(started) && started + FIRST_BYTE_TIMEOUT <= now;
         match result {
-            AttemptResult::Abandoned if silent => self.fail(now),
+            AttemptResult::Abandoned if overdue => self.fail(now),
             result => self.record(result, now),
         }
     }
 
-    /// How much longer than usual it has left an attempt without a word.
-    pub fn silence(&self, now: Instant) -> Duration {
-        let oldest = self.silent.iter().min();
-        let silent = oldest.map_or(Duration::ZERO, |at| now.saturating_duration_since(*at));
-        silent.saturating_sub(SILENCE_LIMIT)
+    /// Time by which the oldest attempt without a first byte is overdue.
+    pub fn first_byte_overdue(&self, now: Instant) -> Duration {
+        let oldest = self.awaiting_first_byte.iter().min();
+        let waited = oldest.map_or(Duration::ZERO, |at| now.saturating_duration_since(*at));
+        waited.saturating_sub(FIRST_BYTE_TIMEOUT)
     }
 
     pub fn record(&mut self, result: AttemptResult, now: Instant) {
@@ -111,13 +101,13 @@
             AttemptResult::Answered => {
                 self.failures = 0;
                 self.broken = 0;
-                self.aside_until = None;
+                self.ejected_until = None;
             }
-            AttemptResult::Full => self.put_aside(FULL_ASIDE, now),
+            AttemptResult::Full => self.eject(FULL_EJECTION, now),
             AttemptResult::Unreachable => self.fail(now),
             AttemptResult::Broken => {
                 self.broken += 1;
-                if self.broken >= BROKEN_LIMIT {
+                if self.broken >= BROKEN_THRESHOLD {
                     self.fail(now);
                 }
             }
@@ -125,30 +115,31 @@
         }
     }
 
-    /// Notes a time measured against the usual one: 1.0 is usual.
-    pub fn measure(&mut self, ratio: f64, now: Instant) {
-        let pace = self.pace(now);
-        self.pace = Some((pace + PACE_SHARE * (ratio - pace), now));
+    /// Adds a sample of latency divided by the mean of the service.
+    pub fn observe_latency_ratio(&mut self, ratio: f64, now: Instant) {
+        let mean = self.latency_ratio(now);
+        self.latency_ratio = Some((mean + LATENCY_RATIO_WEIGHT * (ratio - mean), now));
     }
 
-    /// How slow it is; 1.0 is usual.
-    pub fn pace(&self, now: Instant) -> f64 {
-        let Some((pace, at)) = self.pace else { return 1.0 };
-        let age = now.saturating_duration_since(at).as_secs_f64() / PACE_FADE.as_secs_f64();
-        1.0 + (pace - 1.0) * (-age).exp()
+    /// Moving average that decays towards 1.0, the mean of the service.
+    pub fn latency_ratio(&self, now: Instant) -> f64 {
+        let Some((mean, at)) = self.latency_ratio else { return 1.0 };
+        let age =
+            now.saturating_duration_since(at).as_secs_f64() / LATENCY_RATIO_DECAY.as_secs_f64();
+        1.0 + (mean - 1.0) * (-age).exp()
     }
 
-    pub fn is_aside(&self, now: Instant) -> bool {
-        self.aside_until.is_some_and(|until| now < until)
+    pub fn is_ejected(&self, now: Instant) -> bool {
+        self.ejected_until.is_some_and(|until| now < until)
     }
 
     fn fail(&mut self, now: Instant) {
-        let aside = (ASIDE_MIN * 2u32.saturating_pow(self.failures.min(8))).min(ASIDE_MAX);
+        let ejection = (MIN_EJECTION * 2u32.saturating_pow(self.failures.min(8))).min(MAX_EJECTION);
         self.failures += 1;
-        self.put_aside(aside, now);
+        self.eject(ejection, now);
     }
 
-    fn put_aside(&mut self, aside: Duration, now: Instant) {
-        self.aside_until = self.aside_until.max(Some(now + aside));
+    fn eject(&mut self, ejection: Duration, now: Instant) {
+        self.ejected_until = self.ejected_until.max(Some(now + ejection));
     }
 }
--- a/src/gateway/attempt/mod.rs
+++ b/src/gateway/attempt/mod.rs
@@ -123,8 +123,11 @@
         }
         let upstreams = self.news.upstreams.borrow();
         let engines = log.engines.borrow();
-        let living = engines.iter().filter(|life| upstreams.lives(&life.id, life.born)).count();
-        if living < call.route.max_attempts as usize {
+        let running = engines
+            .iter()
+            .filter(|engine| upstreams.has_incarnation(&engine.id, engine.started_at))
+            .count();
+        if running < call.route.max_attempts as usize {
             RerunPlace::Elsewhere
         } else if call.route.is_resumable && log.reruns.get() < MAX_RERUNS {
             RerunPlace::Same
@@ -203,7 +206,7 @@
         let request = ChoiceRequest {
             service: &call.service,
             zone: &self.settings.zone,
-            parts: &call.head.parts,
+            blocks: &call.head.parts,
             holder: call.holder.as_ref(),
             affinity,
             tried,
--- a/src/gateway/attempt/tried.rs
+++ b/src/gateway/attempt/tried.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::core::ids::UpstreamId;
-use crate::core::upstreams::{BirthMillis, UpstreamChoice};
+use crate::core::upstreams::{StartMillis, UpstreamChoice};
 use crate::gateway::events::EventId;
 
 /// What has been tried for a request.
@@ -22,8 +22,8 @@
     pub(crate) sent_after: Cell<Option<Duration>>,
     /// Whether an attempt is under way whose upstream may be running the request.
     pub(crate) exposed: Cell<bool>,
-    /// Upstreams that have run the request, by their lives.
-    pub(super) engines: RefCell<Vec<UpstreamLife>>,
+    /// Incarnations that have run the request.
+    pub(super) engines: RefCell<Vec<UpstreamIncarnation>>,
     /// Upstreams that took no connection.
     pub(super) unreached: Cell<u32>,
     /// Times it was sent again to the upstream that broke it off.
@@ -32,16 +32,15 @@
     pub(crate) last_event: RefCell<Option<EventId>>,
 }
 
-/// One life of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct UpstreamLife {
+pub(super) struct UpstreamIncarnation {
     pub(super) id: UpstreamId,
-    pub(super) born: Option<BirthMillis>,
+    pub(super) started_at: Option<StartMillis>,
 }
 
-impl UpstreamLife {
+impl UpstreamIncarnation {
     fn of(choice: &UpstreamChoice) -> Self {
-        Self { id: choice.id.clone(), born: choice.born }
+        Self { id: choice.id.clone(), started_at: choice.started_at }
     }
 }
 
@@ -53,16 +52,16 @@
 
     pub(super) fn note_run(&self, choice: &UpstreamChoice) {
         self.runs.set(self.runs.get() + 1);
-        let life = UpstreamLife::of(choice);
+        let incarnation = UpstreamIncarnation::of(choice);
         let mut engines = self.engines.borrow_mut();
-        if !engines.contains(&life) {
-            engines.push(life);
+        if !engines.contains(&incarnation) {
+            engines.push(incarnation);
         }
     }
 
     /// Notes that an upstream cannot be reached: what it ran has ended with it.
     pub(super) fn note_gone(&self, choice: &UpstreamChoice) {
-        let life = UpstreamLife::of(choice);
-        self.engines.borrow_mut().retain(|known| *known != life);
+        let incarnation = UpstreamIncarnation::of(choice);
+        self.engines.borrow_mut().retain(|known| *known != incarnation);
     }
 }
--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -207,8 +207,8 @@
         let RelayState { events, first, first_at, before, .. } = state;
         let (upstream, status) = (choice.id.clone(), head.status);
         guard.record(AttemptResult::Answered);
-        // What a former life has read is in nobody's memory.
-        if self.news.upstreams.borrow().lives(&upstream, choice.born) {
+        // The cache of a previous incarnation is gone.
+        if self.news.upstreams.borrow().has_incarnation(&upstream, choice.started_at) {
             self.note_resident(call, &upstream);
             self.note_pace(&upstream, first_at, events.events() - before);
         }
@@ -248,7 +248,7 @@
         let first_at = first_at.filter(|_| paced && events >= MIN_PACED_EVENTS);
         let Some(first_at) = first_at else { return };
         let millis = first_at.elapsed().as_secs_f64() * 1e3 / (events - 1) as f64;
-        self.news.upstreams.borrow_mut().measure(upstream, millis, Instant::now());
+        self.news.upstreams.borrow_mut().observe_latency(upstream, millis, Instant::now());
     }
 
     /// Notes what the engine's memory now holds.
@@ -257,8 +257,8 @@
             return;
         }
         let mut upstreams = self.news.upstreams.borrow_mut();
-        for part in &call.head.parts {
-            upstreams.note_resident(upstream, &part.part);
+        for block in &call.head.parts {
+            upstreams.record_resident(upstream, &block.id);
         }
     }
 }
--- a/src/gateway/call/turn.rs
+++ b/src/gateway/call/turn.rs
@@ -11,10 +11,10 @@
 use crate::core::admission::{AdmissionReply, AdmissionRequest};
 use crate::core::ids::{Tokens, UpstreamId};
 use crate::core::turns::{
-    DEFAULT_RETENTION, LineHolder, LineName, ProgramName, TurnId, TurnRecord, TurnScope,
+    BranchName, DEFAULT_RETENTION, PrefixHolder, ProgramName, TurnId, TurnRecord, TurnScope,
 };
 use crate::core::upstreams::UpstreamChoice;
-use crate::core::workspaces::owned_name;
+use crate::core::workspaces::qualified_name;
 use crate::gateway::attempt::{AttemptLog, chain_body};
 use crate::gateway::events::EventParser;
 use crate::gateway::refusal::Refusal;
@@ -58,7 +58,7 @@
     /// None if the call names no program.
     fn of(call: &CallContext) -> Option<Self> {
         let workspace = call.workspace.as_ref().map(|workspace| &workspace.name);
-        let own = |name: &str| owned_name(workspace, name);
+        let own = |name: &str| qualified_name(workspace, name);
         Some(Self {
             program: own(call.head.program.as_deref()?),
             turn: own(&call.id),
@@ -108,7 +108,8 @@
             }
             TurnScope::Tokens => {
                 let upstreams = self.news.upstreams.borrow();
-                let holder = holder.filter(|held| upstreams.lives(&held.upstream, held.born));
+                let holder =
+                    holder.filter(|held| upstreams.has_incarnation(&held.upstream, held.born));
                 call.holder = holder.map(|held| held.upstream);
             }
         }
@@ -133,8 +134,9 @@
     /// The engine that holds the chain, unless it has started anew since.
     fn chain_holder(&self, chain: &TurnChain) -> Option<UpstreamId> {
         let last = chain.turns.last()?;
-        let lives = self.news.upstreams.borrow().lives(&last.upstream, last.born);
-        lives.then(|| last.upstream.clone())
+        let is_current =
+            self.news.upstreams.borrow().has_incarnation(&last.upstream, last.started_at);
+        is_current.then(|| last.upstream.clone())
     }
 
     fn turn_claim(
@@ -253,7 +255,7 @@
 
 /// The refusal of a program's first turn.
 fn turned_away(call: &CallContext, program: &ProgramName, reply: AdmissionReply) -> Refusal {
-    let AdmissionReply::TurnedAway { retry_after, share, excess } = reply else {
+    let AdmissionReply::Rejected { retry_after, admitted_fraction: share, excess } = reply else {
         return Refusal::not_run("engines_overloaded", NOT_ADMITTED_RETRY);
     };
     log::info!(
@@ -270,11 +272,11 @@
 
 impl TurnWork {
     /// Notes which engine holds what the next turn of the line begins with.
-    pub(super) fn note_holder(&mut self, line: Option<&LineName>, choice: &UpstreamChoice) {
-        self.reservation.note_holder(LineHolder {
+    pub(super) fn note_holder(&mut self, line: Option<&BranchName>, choice: &UpstreamChoice) {
+        self.reservation.note_holder(PrefixHolder {
             line: line.cloned(),
             upstream: choice.id.clone(),
-            born: choice.born,
+            born: choice.started_at,
         });
     }
 
@@ -299,7 +301,7 @@
             previous: self.previous.clone(),
             origin: self.origin.clone(),
             upstream: choice.id.clone(),
-            born: choice.born,
+            started_at: choice.started_at,
             used: self.reservation.used(),
             input: self.input.clone(),
             output: events.into_output(),
--- a/src/gateway/news/mod.rs
+++ b/src/gateway/news/mod.rs
@@ -4,6 +4,8 @@
 mod follow;
 
 mod messages;
+#[cfg(test)]
+mod messages_tests;
 mod reader;
 mod table_log;
 #[cfg(test)]
@@ -24,9 +26,9 @@
 use super::rows::{RowVersion, StoredRow};
 use super::store::StoreLink;
 use crate::core::ids::UpstreamId;
-use crate::core::quotas::QuotaTerms;
-use crate::core::routing::{RouteTable, TableNews, TableVersion, TableView};
-use crate::core::upstreams::{ListNews, UpstreamEntry, UpstreamTable};
+use crate::core::quotas::QuotaLimit;
+use crate::core::routing::{RouteTable, TableVersion, TableView, UpdateOutcome};
+use crate::core::upstreams::{UpstreamEntry, UpstreamTable, UpstreamUpdate};
 use crate::util::pause::ClockMark;
 
 pub(crate) use self::reader::{NEWS_PATH, NewsReaders};
@@ -99,7 +101,7 @@
 
     /// How long ago the routes were last read or confirmed; zero while none are known.
     pub(crate) fn routes_age(&self) -> Duration {
-        self.routes.borrow().confirmed().map_or(Duration::ZERO, |at| at.elapsed())
+        self.routes.borrow().confirmed_at().map_or(Duration::ZERO, |at| at.elapsed())
     }
 
     /// Whether requests can be served: routes and upstreams have been read at least once.
@@ -129,7 +131,7 @@
     }
 
     fn has_fresh_routes(&self) -> bool {
-        let confirmed = self.routes.borrow().confirmed();
+        let confirmed = self.routes.borrow().confirmed_at();
         let paused = self.routes_asked.get().is_some_and(|asked| asked.is_paused());
         confirmed.is_some_and(|at| at.elapsed() < FRESH) && !paused
     }
@@ -185,7 +187,7 @@
             }
         };
         let (version, routes) = (table.version, table.route_count());
-        if self.routes.borrow_mut().offer(table) == TableNews::Old {
+        if self.routes.borrow_mut().update(table) == UpdateOutcome::Old {
             return;
         }
         let table = self.routes.borrow().current();
@@ -195,7 +197,7 @@
             workspaces.map_or("open".into(), |workspaces| workspaces.len().to_string()),
             self.is_led()
         );
-        for problem in workspaces.map_or(&[][..], |workspaces| workspaces.problems()) {
+        for problem in workspaces.map_or(&[][..], |workspaces| workspaces.invalid_keys()) {
             log::error!("event=key_unusable version={version} problem=\"{problem}\"");
         }
     }
@@ -232,13 +234,13 @@
     fn change_upstream(&self, upstreams: &mut UpstreamTable, row: StoredRow, now: Instant) {
         let id = row.key.key.clone();
         let entry = self.read_entry(&row);
-        let news = match &entry {
-            Some(entry) => ListNews::Listed(entry.clone()),
-            None => ListNews::Removed(id.clone()),
+        let update = match &entry {
+            Some(entry) => UpstreamUpdate::Listed(entry.clone()),
+            None => UpstreamUpdate::Removed(id.clone()),
         };
         let state =
             entry.as_ref().map_or_else(|| "removed".into(), |entry| entry.state.to_string());
-        if upstreams.apply(news, now) {
+        if upstreams.apply(update, now) {
             log::info!(
                 "event=upstream_changed upstream={id} state={state} version={} led={}",
                 row.version,
@@ -284,14 +286,14 @@
     }
 
     fn forget_left(&self, upstreams: &mut UpstreamTable) {
-        for address in upstreams.take_left_addresses() {
+        for address in upstreams.take_stale_addresses() {
             self.pool.forget(&address);
         }
     }
 }
 
 impl QuotaSource for StoreNews {
-    fn quota(&self, workspace: &str) -> Option<QuotaTerms> {
+    fn quota(&self, workspace: &str) -> Option<QuotaLimit> {
         self.routes()?.workspaces()?.get(workspace)?.quota
     }
 }
--- a/src/gateway/quotas/mod.rs
+++ b/src/gateway/quotas/mod.rs
@@ -2,6 +2,8 @@
 
 mod asker;
 mod messages;
+#[cfg(test)]
+mod messages_tests;
 mod shares;
 mod size;
 
@@ -11,7 +13,7 @@
 use tokio::time::Instant;
 
 use crate::core::ids::WorkspaceId;
-use crate::core::quotas::{LimitSample, QuotaAsk, QuotaMember, QuotaTerms};
+use crate::core::quotas::{LimitSample, QuotaLimit, QuotaMember, QuotaRequest};
 
 pub(crate) use self::asker::LimiterQuota;
 pub(crate) use self::messages::QuotaMessage;
@@ -55,7 +57,7 @@
 #[derive(Debug)]
 pub(crate) struct QuotaPlace {
     workspace: WorkspaceId,
-    ask: QuotaAsk,
+    ask: QuotaRequest,
     /// Who granted it; none if that was this instance.
     limiter: Option<Box<str>>,
     granted: Instant,
@@ -72,7 +74,12 @@
 #[async_trait(?Send)]
 pub(crate) trait QuotaKeeper {
     /// Waits for a place within a workspace's limit.
-    async fn ask(&self, workspace: &WorkspaceId, quota: QuotaTerms, ask: QuotaAsk) -> QuotaOutcome;
+    async fn ask(
+        &self,
+        workspace: &WorkspaceId,
+        quota: QuotaLimit,
+        ask: QuotaRequest,
+    ) -> QuotaOutcome;
 
     /// Gives back the place of a request that has not run and never will.
     fn give_back(&self, place: QuotaPlace);
@@ -95,5 +102,5 @@
 /// What a limiter reads of the configuration.
 pub(crate) trait QuotaSource {
     /// The limit of a workspace; none if it has none, or if none is known yet.
-    fn quota(&self, workspace: &str) -> Option<QuotaTerms>;
+    fn quota(&self, workspace: &str) -> Option<QuotaLimit>;
 }
--- a/src/gateway/turns/mod.rs
+++ b/src/gateway/turns/mod.rs
@@ -5,6 +5,8 @@
 mod claim;
 mod coordinate;
 mod messages;
+#[cfg(test)]
+mod messages_tests;
 mod reserve;
 mod rows;
 mod serve;
@@ -27,7 +29,7 @@
 use super::store::StoreLink;
 use crate::core::ids::Tokens;
 use crate::core::turns::{
-    LineHolder, ProgramLedger, ProgramName, TurnCache, TurnId, TurnRecord, TurnScope,
+    PrefixHolder, ProgramLedger, ProgramName, TurnCache, TurnId, TurnRecord, TurnScope,
 };
 use crate::node::platform::StoreError;
 
@@ -93,7 +95,7 @@
     settled: bool,
     scope: TurnScope,
     /// Where it ran whole.
-    ran_at: Option<LineHolder>,
+    ran_at: Option<PrefixHolder>,
     /// The peer that claimed it for this instance.
     coordinator: Option<Box<str>>,
 }
@@ -110,7 +112,7 @@
     }
 
     /// Notes where the turn ran whole, for those that follow it.
-    pub(crate) fn note_holder(&mut self, holder: LineHolder) {
+    pub(crate) fn note_holder(&mut self, holder: PrefixHolder) {
         self.ran_at = Some(holder);
     }
 
@@ -243,7 +245,7 @@
     ) -> Result<(), ReserveError> {
         loop {
             let (version, mut ledger) = self.ledger(program);
-            ledger.keep_until(self.kept_until(retention));
+            ledger.retain_until(self.kept_until(retention));
             match self.write_ledger(program, version, ledger, RESERVE_PATIENCE).await {
                 Ok(LedgerReply::Written) => return Ok(()),
                 Ok(LedgerReply::Gone) => return Err(ReserveError::Expired),
@@ -313,7 +315,7 @@
             match self.write_ledger(program, version, ledger, SETTLE_PATIENCE).await {
                 Ok(LedgerReply::Written) => return,
                 // An earlier try took effect, and only its reply was lost.
-                Ok(_) if !self.ledger(program).1.is_open(turn) => return,
+                Ok(_) if !self.ledger(program).1.is_reserved(turn) => return,
                 Ok(_) => {}
                 Err(error) => {
                     if self.pause_before_retry(limit).await {
--- a/src/node/config_sync.rs
+++ b/src/node/config_sync.rs
@@ -10,7 +10,7 @@
 use super::platform::{CommitReply, RowKey, StoreError, TableTransaction, parse_row, scan_all};
 use crate::core::budget::BudgetRow;
 use crate::core::config::{
-    ApplyOutcome, ChangeBody, ConfigChange, HeadSource, SpecFault, WorkspaceSpec, head_source,
+    ApplyOutcome, ChangeBody, ConfigChange, HeadSource, InvalidSpec, WorkspaceSpec, head_source,
 };
 use crate::core::ids::ConfigVersion;
 use crate::core::members::GossipMessage;
@@ -61,8 +61,8 @@
     },
 }
 
-impl From<SpecFault> for ChangeError {
-    fn from(fault: SpecFault) -> Self {
+impl From<InvalidSpec> for ChangeError {
+    fn from(fault: InvalidSpec) -> Self {
         Self::Invalid(fault.to_string().into())
     }
 }
@@ -140,9 +140,9 @@
         if let (Some(asked), Some(age)) = (asked, message.head_age)
             && let Some(at) = asked.checked_sub(age)
         {
-            self.config.borrow_mut().saw_head(message.config_head, at);
+            self.config.borrow_mut().observe_head(message.config_head, at);
         }
-        self.config.borrow_mut().heard_head(message.config_head);
+        self.config.borrow_mut().raise_head(message.config_head);
         if self.config.borrow().version() < message.config_head {
             *self.config_announcer.borrow_mut() = Some(message.from.clone());
             self.config_changed.notify_one();
@@ -177,7 +177,7 @@
 
     /// Tells a few members of a new version at once; they fetch it and tell others in turn.
     fn announce_config(&self) {
-        let actions = self.members.borrow_mut().spread(Instant::now());
+        let actions = self.members.borrow_mut().push_updates(Instant::now());
         self.perform(actions);
     }
 
@@ -194,7 +194,7 @@
             let change: ConfigChange = parse_row(&found.row)?;
             self.config.borrow_mut().load(change.version, &change.body);
         }
-        self.config.borrow_mut().loaded(head);
+        self.config.borrow_mut().finish_load(head);
         self.saw_config_head(head, read_at);
         Ok(())
     }
@@ -206,7 +206,7 @@
 
     /// Notes that the head was `head` at `at`.
     pub(crate) fn saw_config_head(&self, head: ConfigVersion, at: Instant) {
-        self.config.borrow_mut().saw_head(head, at);
+        self.config.borrow_mut().observe_head(head, at);
         if self.config.borrow().is_behind() {
             self.config_changed.notify_one();
         }
@@ -228,7 +228,7 @@
                 break;
             }
         }
-        self.config.borrow_mut().saw_head(head, read_at);
+        self.config.borrow_mut().observe_head(head, read_at);
         Ok(())
     }
 
--- a/src/node/engines/choice.rs
+++ b/src/node/engines/choice.rs
@@ -44,8 +44,9 @@
             engines.iter().map(|engine| self.candidate(engine, context, model)).collect();
         let per_token = Duration::from_micros(model.prefill_micros_per_token.into());
         let cost = PrefillCost { per_token: per_token * PREFILL_WEIGHT };
-        let chooser = CacheAwareChooser { cost, remote: REMOTE_COST, crowded: CROWDED };
-        let need = EngineNeed { prompt: context.prompt_tokens(), newcomer: context.newcomer };
+        let chooser =
+            CacheAwareChooser { cost, remote_cost: REMOTE_COST, pressure_threshold: CROWDED };
+        let need = EngineNeed { prompt: context.prompt_tokens(), cold: context.newcomer };
         let index = chooser.choose(&candidates, need)?;
         Some(engines.swap_remove(index))
     }
@@ -87,7 +88,7 @@
                 resident,
                 local: true,
                 pressure: load.pressure,
-                hold: load.hold,
+                occupancy: load.occupancy,
             };
         }
         let told = self.owner_load(desk.owners.get(&engine.id).map(|owner| &**owner));
@@ -101,7 +102,7 @@
             resident,
             local: false,
             pressure: told.pressure,
-            hold: told.hold(),
+            occupancy: told.hold(),
         }
     }
 
--- a/src/node/engines/desk.rs
+++ b/src/node/engines/desk.rs
@@ -70,7 +70,7 @@
                 let waiter = self.waiters.remove(&(engine.clone(), permit));
                 let unheard = waiter.is_none_or(|waiter| waiter.send(reply.clone()).is_err());
                 if unheard && reply == PermitReply::Granted {
-                    slots.finish(permit, now);
+                    slots.release(permit, now);
                 }
             }
         }
@@ -109,7 +109,7 @@
             paying: per_mille(mean.paying),
             trial: per_mille(mean.trial),
             pressure: mean.pressure,
-            hold_millis: mean.hold.as_millis() as u32,
+            hold_millis: mean.occupancy.as_millis() as u32,
         }
     }
 
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -1,24 +1,24 @@
-//! Who gets an engine's slots, and which engine a call goes to.
+//! Slot scheduling of one engine, and the choice of an engine for a call.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use merlinsaddle::core::cache::WorkingSet;
 use merlinsaddle::core::dispatch::{
-    CacheAwareChooser, EngineCandidate, EngineChooser, EngineNeed, EngineSlots, LeastAttained,
-    NewcomerBounds, PrefillCost, ServiceClass, SlotEvent, SlotRequest,
+    CacheAwareChooser, ColdProgramLimits, EngineCandidate, EngineChooser, EngineNeed, EngineSlots,
+    LeastAttainedService, PrefillCost, ServiceClass, SlotEvent, SlotRequest,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use tokio::time::Instant;
 
-const DEADLINE: Duration = Duration::from_secs(30);
-const HOLD: Duration = Duration::from_secs(1);
+const QUEUE_TIMEOUT: Duration = Duration::from_secs(30);
+const CALL_DURATION: Duration = Duration::from_secs(1);
 const PREEMPT_AFTER: Duration = Duration::from_millis(250);
 
 fn new_slots(slots: usize) -> EngineSlots {
     let memory = WorkingSet::new(10_000, Duration::from_secs(60));
-    EngineSlots::new(slots, memory, Box::new(LeastAttained::default()))
+    EngineSlots::new(slots, memory, Box::new(LeastAttainedService::default()))
 }
 
 fn request(permit: u64, class: ServiceClass, now: Instant) -> SlotRequest {
@@ -33,9 +33,9 @@
         attained: 0,
         tokens: 100,
         own_tokens: 100,
-        newcomer: false,
+        cold: false,
         arrived: now,
-        deadline: now + DEADLINE,
+        deadline: now + QUEUE_TIMEOUT,
     }
 }
 
@@ -56,21 +56,21 @@
 }
 
 #[test]
-fn paying_goes_before_trial() {
+fn paying_call_is_granted_before_trial_call() {
     let (mut slots, now) = (new_slots(1), Instant::now());
     slots.enqueue(trial(1, now));
-    slots.enqueue(paying(2, now + HOLD));
-    assert_eq!(granted(&slots.advance(now + HOLD)), [2]);
+    slots.enqueue(paying(2, now + CALL_DURATION));
+    assert_eq!(granted(&slots.advance(now + CALL_DURATION)), [2]);
 }
 
 #[test]
-fn weights_are_respected() {
+fn grants_are_proportional_to_workspace_weights() {
     let (mut slots, mut now) = (new_slots(1), Instant::now());
     let mut heavy_grants = 0;
     for permit in 1..400u64 {
         let heavy = permit.is_multiple_of(2);
         let (workspace, weight) = if heavy { ("heavy", 300) } else { ("light", 100) };
-        let deadline = now + 1000 * HOLD;
+        let deadline = now + 1000 * CALL_DURATION;
         slots.enqueue(SlotRequest {
             workspace: workspace.into(),
             weight,
@@ -81,38 +81,39 @@
     for _ in 0..200 {
         let permit = granted(&slots.advance(now))[0];
         heavy_grants += u32::from(permit.is_multiple_of(2));
-        now += HOLD;
-        slots.finish(permit, now);
+        now += CALL_DURATION;
+        slots.release(permit, now);
     }
-    // 150 is exact; who comes first may cost the other up to one round of four.
+    // Three quarters, give or take one round of four.
     assert!((146..=154).contains(&heavy_grants), "{heavy_grants} of 200");
 }
 
-/// A trial caller is refused again and again while paying work fills the engine for an hour. Paying
-/// calls arrive faster than slots come free, so one always waits and goes before it; or it gets a
-/// slot and loses it to the next paying call before it has got anywhere.
+/// Guards against starvation of trial calls under sustained paying load: none is granted, or each
+/// is preempted right after the grant.
 #[test]
-fn trial_work_does_not_starve() {
+fn trial_call_is_granted_under_sustained_paying_load() {
     let (mut slots, mut now) = (new_slots(1), Instant::now());
     slots.enqueue(trial(0, now));
     for permit in 1.. {
         slots.enqueue(paying(permit, now));
         let events = slots.advance(now);
         if granted(&events) == [0] {
-            assert_eq!(slots.preempt(now + HOLD, PREEMPT_AFTER), None);
+            assert_eq!(slots.preempt(now + CALL_DURATION, PREEMPT_AFTER), None);
             return;
         }
-        assert!(!events.iter().any(|e| matches!(e, SlotEvent::Expired(0, _))), "it expired");
-        now += HOLD;
-        slots.finish(granted(&events)[0], now);
+        assert!(
+            !events.iter().any(|e| matches!(e, SlotEvent::Expired(0, _))),
+            "the trial call expired"
+        );
+        now += CALL_DURATION;
+        slots.release(granted(&events)[0], now);
         slots.enqueue(paying(permit + 1_000_000, now));
     }
 }
 
-/// Paying callers lose their cached prefix in a trial surge. Forty trial calls wait at the engine
-/// that holds it; counted as a wait, they send paying calls elsewhere, though these pass them all.
+/// Guards against paying calls being diverted from their cached prefix by a queue of trial calls.
 #[test]
-fn a_queue_of_trial_calls_is_no_wait_to_paying_ones() {
+fn queued_trial_calls_do_not_count_as_load_for_paying_calls() {
     let (mut slots, now) = (new_slots(4), Instant::now());
     for permit in 0..44 {
         slots.enqueue(trial(permit, now));
@@ -125,59 +126,57 @@
     assert!(load.trial.wait > Duration::from_secs(10), "{:?}", load.trial.wait);
 }
 
-/// Trial streams are cancelled without end. Memory holds a paying newcomer back; a slot taken for
-/// it goes to the next trial call, and the newcomer still waits at the next look.
+/// Guards against endless preemption: a slot freed for a call that waits for memory goes to the
+/// next trial call.
 #[test]
-fn nothing_is_preempted_for_a_newcomer_that_memory_holds_back() {
+fn deferred_cold_program_does_not_preempt() {
     let (mut slots, now) = (new_slots(2), Instant::now());
-    slots.hold_newcomers(NewcomerBounds { paying: 1000, trial: 1000 });
+    slots.limit_cold_programs(ColdProgramLimits { paying: 1000, trial: 1000 });
     for permit in 0..3 {
         slots.enqueue(SlotRequest { own_tokens: 5_000, ..trial(permit, now) });
     }
     slots.advance(now);
-    slots.enqueue(SlotRequest { newcomer: true, ..paying(9, now) });
-    let later = now + HOLD;
+    slots.enqueue(SlotRequest { cold: true, ..paying(9, now) });
+    let later = now + CALL_DURATION;
     assert!(slots.advance(later).is_empty());
     assert_eq!(slots.preempt(later, PREEMPT_AFTER), None);
     slots.end_program(0);
     assert!(slots.preempt(later, PREEMPT_AFTER).is_some());
 }
 
-/// An owner asks its holders for a slot every tick until the first has stopped its stream. Each
-/// time it would take another trial call's slot for the same paying call.
+/// Guards against a second preemption for the same paying call while the first is under way.
 #[test]
-fn a_waiting_call_preempts_one_trial_call_the_youngest() {
+fn waiting_paying_call_preempts_only_the_youngest_trial_call() {
     let (mut slots, now) = (new_slots(3), Instant::now());
     slots.enqueue(trial(1, now));
     slots.advance(now);
     slots.enqueue(trial(2, now));
     slots.enqueue(paying(3, now));
-    slots.advance(now + HOLD);
-    slots.enqueue(paying(4, now + HOLD));
-    assert_eq!(slots.preempt(now + HOLD, PREEMPT_AFTER), None);
-    let late = now + HOLD + PREEMPT_AFTER;
+    slots.advance(now + CALL_DURATION);
+    slots.enqueue(paying(4, now + CALL_DURATION));
+    assert_eq!(slots.preempt(now + CALL_DURATION, PREEMPT_AFTER), None);
+    let late = now + CALL_DURATION + PREEMPT_AFTER;
     let revocation = slots.preempt(late, PREEMPT_AFTER).expect("a trial call is preempted");
     assert_eq!((revocation.permit, &*revocation.holder), (2, "i0"));
     assert_eq!(slots.preempt(late, PREEMPT_AFTER), None);
-    slots.finish(2, late);
+    slots.release(2, late);
     assert_eq!(granted(&slots.advance(late)), [4]);
 }
 
-/// Everybody's prompts are computed again and again at a season's peak: each new program pushes the
-/// prefix of a paused one out of the engine.
+/// Guards against cache thrashing, where each new program evicts the prefix of a paused one.
 #[test]
-fn newcomers_wait_until_memory_has_room() {
+fn cold_programs_wait_for_free_memory() {
     let (mut slots, now) = (new_slots(8), Instant::now());
-    slots.hold_newcomers(NewcomerBounds { paying: 1000, trial: 500 });
-    let new = |request| SlotRequest { newcomer: true, own_tokens: 4_000, ..request };
+    slots.limit_cold_programs(ColdProgramLimits { paying: 1000, trial: 500 });
+    let new = |request| SlotRequest { cold: true, own_tokens: 4_000, ..request };
     for permit in 1..4 {
         slots.enqueue(new(paying(permit, now)));
     }
     slots.enqueue(new(trial(4, now)));
     slots.enqueue(SlotRequest { own_tokens: 4_000, ..paying(5, now) });
     assert_eq!(granted(&slots.advance(now)).into_iter().collect::<BTreeSet<_>>(), [1, 2, 5].into());
-    slots.finish(1, now);
-    assert!(slots.advance(now).is_empty(), "its program may come back");
+    slots.release(1, now);
+    assert!(slots.advance(now).is_empty(), "the program may still return");
     slots.end_program(1);
     slots.end_program(5);
     assert_eq!(granted(&slots.advance(now)), [3]);
@@ -192,20 +191,20 @@
         resident: 0,
         local: true,
         pressure: 0,
-        hold: Duration::from_secs(2),
+        occupancy: Duration::from_secs(2),
     }
 }
 
-fn choose(candidates: &[EngineCandidate], newcomer: bool) -> Box<str> {
+fn choose(candidates: &[EngineCandidate], cold: bool) -> Box<str> {
     let cost = PrefillCost { per_token: Duration::from_micros(50) };
-    let remote = Duration::from_millis(500);
-    let chooser = CacheAwareChooser { cost, remote, crowded: 500 };
-    let index = chooser.choose(candidates, EngineNeed { prompt: 20_000, newcomer });
+    let remote_cost = Duration::from_millis(500);
+    let chooser = CacheAwareChooser { cost, remote_cost, pressure_threshold: 500 };
+    let index = chooser.choose(candidates, EngineNeed { prompt: 20_000, cold });
     candidates[index.expect("there are candidates")].engine.clone()
 }
 
 #[test]
-fn calls_return_to_the_holder_unless_waiting_costs_more() {
+fn call_returns_to_its_cached_prefix_unless_the_wait_costs_more() {
     let holder = |millis| EngineCandidate {
         resident: 20_000,
         wait: Duration::from_millis(millis),
@@ -215,31 +214,32 @@
     assert_eq!(&*choose(&[candidate("idle"), holder(1100)], false), "idle");
 }
 
-/// Paying calls take ten times as long for a minute and more. An engine has become slow; its slots
-/// come free late, but no queue shows it, and nothing is known of how fast others' engines are.
+/// Guards against calls sent to an engine whose slowness shows in no queue, and against preferring
+/// remote engines of unknown speed.
 #[test]
-fn slow_engines_are_avoided_and_unknown_ones_are_not_called_fast() {
-    let slow = EngineCandidate { hold: Duration::from_secs(20), ..candidate("slow") };
+fn slow_engine_is_avoided_and_unknown_speed_is_not_preferred() {
+    let slow = EngineCandidate { occupancy: Duration::from_secs(20), ..candidate("slow") };
     let slow = EngineCandidate { resident: 20_000, ..slow };
-    let unknown = EngineCandidate { hold: Duration::ZERO, local: false, ..candidate("unknown") };
+    let unknown =
+        EngineCandidate { occupancy: Duration::ZERO, local: false, ..candidate("unknown") };
     assert_eq!(&*choose(&[slow, candidate("other")], false), "other");
     assert_eq!(&*choose(&[unknown, candidate("known")], false), "known");
 }
 
 #[test]
-fn newcomers_go_where_memory_is_left() {
+fn cold_program_goes_to_the_engine_with_free_memory() {
     let full = EngineCandidate { resident: 8_000, pressure: 900, ..candidate("full") };
-    let room = EngineCandidate { pressure: 600, ..candidate("room") };
-    assert_eq!(&*choose(&[full.clone(), room.clone()], true), "room");
-    assert_eq!(&*choose(&[full, room], false), "full");
+    let free = EngineCandidate { pressure: 600, ..candidate("free") };
+    assert_eq!(&*choose(&[full.clone(), free.clone()], true), "free");
+    assert_eq!(&*choose(&[full, free], false), "full");
 }
 
 #[derive(Debug, Clone)]
 enum SlotStep {
     Enqueue { paying: bool, holder: u8, wait_millis: u64 },
-    Pass { millis: u64 },
-    Finish { permit: u64 },
-    HolderDies { holder: u8 },
+    Advance { millis: u64 },
+    Release { permit: u64 },
+    DropHolder { holder: u8 },
 }
 
 fn slot_step() -> impl Strategy<Value = SlotStep> {
@@ -247,9 +247,9 @@
         4 => (any::<bool>(), 0..3u8, 100..3_000u64).prop_map(|(paying, holder, wait_millis)| {
             SlotStep::Enqueue { paying, holder, wait_millis }
         }),
-        3 => (1..1_000u64).prop_map(|millis| SlotStep::Pass { millis }),
-        3 => (0..60u64).prop_map(|permit| SlotStep::Finish { permit }),
-        1 => (0..3u8).prop_map(|holder| SlotStep::HolderDies { holder }),
+        3 => (1..1_000u64).prop_map(|millis| SlotStep::Advance { millis }),
+        3 => (0..60u64).prop_map(|permit| SlotStep::Release { permit }),
+        1 => (0..3u8).prop_map(|holder| SlotStep::DropHolder { holder }),
     ]
 }
 
@@ -262,9 +262,8 @@
     })]
 
     #[test]
-    fn slots_keep_their_promises(steps in prop::collection::vec(slot_step(), 1..120)) {
+    fn slot_invariants_hold_for_random_steps(steps in prop::collection::vec(slot_step(), 1..120)) {
         let (mut slots, mut now) = (new_slots(3), Instant::now());
-        // Requests by permit, and the permits that run.
         let mut waiting: BTreeMap<u64, SlotRequest> = BTreeMap::new();
         let mut running: BTreeMap<u64, SlotRequest> = BTreeMap::new();
         let mut next = 0;
@@ -282,15 +281,15 @@
                     waiting.insert(next, request);
                     next += 1;
                 }
-                SlotStep::Pass { millis } => now += Duration::from_millis(millis),
-                SlotStep::Finish { permit } => {
-                    // The second time is the repeated message whose first answer was lost.
-                    slots.finish(permit, now);
-                    slots.finish(permit, now);
+                SlotStep::Advance { millis } => now += Duration::from_millis(millis),
+                SlotStep::Release { permit } => {
+                    // Twice, as a retry after a lost reply.
+                    slots.release(permit, now);
+                    slots.release(permit, now);
                     waiting.remove(&permit);
                     running.remove(&permit);
                 }
-                SlotStep::HolderDies { holder } => {
+                SlotStep::DropHolder { holder } => {
                     let holder: Box<str> = format!("i{holder}").into();
                     slots.drop_holder(&holder);
                     waiting.retain(|_, request| request.holder != holder);
@@ -300,22 +299,22 @@
             for event in slots.advance(now) {
                 match event {
                     SlotEvent::Granted(permit) => {
-                        let request = waiting.remove(&permit).expect("only what waits is granted");
+                        let request = waiting.remove(&permit).expect("granted request was waiting");
                         prop_assert!(request.deadline > now);
-                        let passed = waiting.values().any(|other| {
+                        let overtakes = waiting.values().any(|other| {
                             other.class == ServiceClass::Paying && other.deadline > now
                         });
                         match request.class {
                             ServiceClass::Paying => since_trial += 1,
                             ServiceClass::Trial => {
-                                prop_assert!(!passed || since_trial >= 19, "paying was passed");
+                                prop_assert!(!overtakes || since_trial >= 19, "trial call overtook a paying call");
                                 since_trial = 0;
                             }
                         }
                         running.insert(permit, request);
                     }
                     SlotEvent::Expired(permit, class) => {
-                        let request = waiting.remove(&permit).expect("only what waits expires");
+                        let request = waiting.remove(&permit).expect("expired request was waiting");
                         prop_assert!(request.deadline <= now);
                         prop_assert_eq!(request.class, class);
                     }
@@ -324,7 +323,7 @@
             prop_assert!(running.len() <= 3);
             prop_assert_eq!(slots.running(), running.len());
             prop_assert_eq!(slots.waiting(), waiting.len());
-            prop_assert!(waiting.is_empty() || running.len() == 3, "a slot stays free");
+            prop_assert!(waiting.is_empty() || running.len() == 3, "free slot while requests wait");
         }
     }
 }
--- a/tests/platform_standin/mod.rs
+++ b/tests/platform_standin/mod.rs
@@ -258,10 +258,10 @@
         self.list_engine_in("zone-a", id, address, state);
     }
 
-    /// Lists a life of an engine that tells when it started.
-    pub fn list_life(&self, id: &str, address: &str, state: &str, born: u64) {
+    /// Lists an incarnation of an engine by its start time.
+    pub fn list_incarnation(&self, id: &str, address: &str, state: &str, started_at: u64) {
         let mut entry = engine_entry("zone-a", address, state);
-        entry["born"] = born.into();
+        entry["born"] = started_at.into();
         self.store.put("servers", id, &entry);
     }
 
