--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -44,7 +44,7 @@
 use quotas::QuotaKeeper;
 use stop::StopState;
 use store::StoreLink;
-use turns::TurnKeeper;
+use turns::TurnManager;
 
 pub use quotas::LIMITS_PATH;
 pub use run::{GatewaySockets, RunningGateway, launch_gateway};
@@ -57,7 +57,7 @@
     pub(crate) pool: Rc<ConnectionPool>,
     pub(crate) store: Rc<StoreLink>,
     pub(crate) news: Rc<StoreNews>,
-    pub(crate) turns: Rc<TurnKeeper>,
+    pub(crate) turns: Rc<TurnManager>,
     pub(crate) committer: Rc<StoreCommitter>,
     pub(crate) members: Rc<MemberView>,
     pub(crate) quotas: Rc<dyn QuotaKeeper>,
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -25,7 +25,7 @@
 use super::stop::StopState;
 use super::store::StoreLink;
 use super::sweep::ProgramSweeper;
-use super::turns::TurnKeeper;
+use super::turns::TurnManager;
 use crate::node::LaunchError;
 use crate::util::http_server::serve_http;
 
@@ -127,7 +127,7 @@
     actix_rt::spawn(store.clone().watch());
     let row_bytes = settings.store_row_bytes;
     let turns =
-        TurnKeeper::new(store.clone(), committer.clone(), pool.clone(), cache_bytes, row_bytes);
+        TurnManager::new(store.clone(), committer.clone(), pool.clone(), cache_bytes, row_bytes);
     let gateway = Rc::new(Gateway {
         metrics,
         settings,
--- a/src/gateway/turns/allowances.rs
+++ b/src/gateway/turns/allowances.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use super::claim::{CLAIM_TRIES, ClaimError, ClaimSource, ClaimedTurn, TurnClaim};
-use super::{BACKGROUND_LIMIT, ReserveError, TurnChain, TurnEnd, TurnKeeper, TurnReservation};
+use super::{BACKGROUND_LIMIT, ReserveError, TurnChain, TurnEnd, TurnManager, TurnReservation};
 use crate::core::turns::{
     PREALLOCATED_TURNS, PrefixHolders, ProgramLedger, ProgramName, ReserveReply, TokenAllowance,
     TurnScope,
@@ -85,7 +85,7 @@
     }
 }
 
-impl TurnKeeper {
+impl TurnManager {
     /// Claims a turn whose history is not kept: out of the program's allowance here, or by a write that
     /// extends it.
     pub(super) async fn claim_tokens(
--- a/src/gateway/turns/chain.rs
+++ b/src/gateway/turns/chain.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-use super::TurnKeeper;
+use super::TurnManager;
 use super::rows::{TABLE, index_key};
 use crate::core::turns::{ChainLookup, ProgramName, TurnId, TurnRecord};
 use crate::gateway::rows::RowRange;
@@ -34,7 +34,7 @@
     }
 }
 
-impl TurnKeeper {
+impl TurnManager {
     /// The chain that ends with `turn`, oldest first.
     ///
     /// The turn is looked for in the program first, and by the index if it is not there: a program
--- a/src/gateway/turns/claim.rs
+++ b/src/gateway/turns/claim.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use super::{ChainError, ReserveError, TurnChain, TurnKeeper, TurnReservation};
+use super::{ChainError, ReserveError, TurnChain, TurnManager, TurnReservation};
 use crate::core::ids::Tokens;
 use crate::core::turns::{BranchName, PrefixHolder, ProgramName, TurnId, TurnScope};
 use crate::node::platform::StoreError;
@@ -81,7 +81,7 @@
     }
 }
 
-impl TurnKeeper {
+impl TurnManager {
     /// Reads what a turn continues from and sets its tokens aside, anew if the program has expired
     /// since it was seen here.
     pub(super) async fn claim_here(
--- a/src/gateway/turns/coordinate.rs
+++ b/src/gateway/turns/coordinate.rs
@@ -13,7 +13,7 @@
 
 use super::claim::{ClaimError, ClaimSource, ClaimedTurn, TurnClaim};
 use super::messages::{ClaimReply, ClaimRequest, KeepRequest, TurnEnd};
-use super::{ChainError, SETTLE_PATIENCE, TurnChain, TurnKeeper};
+use super::{ChainError, SETTLE_PATIENCE, TurnChain, TurnManager};
 use crate::core::turns::{ProgramName, TurnId, TurnRecord, TurnScope};
 use crate::gateway::http::ExchangeError;
 use crate::gateway::latency::{FailedPeers, LatencyEstimate};
@@ -72,7 +72,7 @@
     limit.saturating_duration_since(Instant::now()).as_millis() as u64
 }
 
-impl TurnKeeper {
+impl TurnManager {
     /// Claims a turn at its coordinator; here if there is no other or it does not answer.
     pub(crate) async fn claim(
         self: &Rc<Self>,
@@ -93,8 +93,8 @@
             return self.claim_here(&claim, limit, ClaimSource::StandIn).await;
         }
         // It goes on if the caller leaves meanwhile; what it was granted is then given back.
-        let keeper = self.clone();
-        let asked = actix_rt::spawn(async move { keeper.claim_by(&peer, &claim, limit).await });
+        let manager = self.clone();
+        let asked = actix_rt::spawn(async move { manager.claim_by(&peer, &claim, limit).await });
         asked.await.unwrap_or(Err(ClaimError::Doubtful(StoreError::ReplyLost)))
     }
 
--- a/src/gateway/turns/mod.rs
+++ b/src/gateway/turns/mod.rs
@@ -71,7 +71,7 @@
 }
 
 /// What programs have said, and what they have spent.
-pub(crate) struct TurnKeeper {
+pub(crate) struct TurnManager {
     store: Rc<StoreLink>,
     committer: Rc<StoreCommitter>,
     pool: Rc<ConnectionPool>,
@@ -88,7 +88,7 @@
 
 /// Tokens set aside for a running turn. Dropped, it settles for what was passed on.
 pub(crate) struct TurnReservation {
-    keeper: Rc<TurnKeeper>,
+    manager: Rc<TurnManager>,
     program: ProgramName,
     turn: TurnId,
     used: Tokens,
@@ -126,17 +126,17 @@
     /// The write goes on if the caller of this function is dropped.
     pub(crate) async fn complete(mut self, record: TurnRecord, limit: Instant) -> bool {
         self.settled = true;
-        let keeper = self.keeper.clone();
+        let manager = self.manager.clone();
         let (program, turn) = (self.program.clone(), self.turn.clone());
         let coordinator = self.coordinator.take();
         let keep = async move {
             if let Some(peer) = coordinator
-                && keeper.keep_by(&peer, &program, &turn, &record, limit).await
+                && manager.keep_by(&peer, &program, &turn, &record, limit).await
             {
-                keeper.cache.borrow_mut().insert(&program, turn, record.into());
+                manager.cache.borrow_mut().insert(&program, turn, record.into());
                 return true;
             }
-            keeper.record(&program, &turn, record, limit).await
+            manager.record(&program, &turn, record, limit).await
         };
         actix_rt::spawn(keep).await.unwrap_or(false)
     }
@@ -146,11 +146,11 @@
     /// A turn that leaves no record, as it broke off or its history is not kept: its unused tokens go
     /// back to the program.
     fn drop(&mut self) {
-        self.keeper.reservations.set(self.keeper.reservations.get() - 1);
+        self.manager.reservations.set(self.manager.reservations.get() - 1);
         if self.settled {
             return;
         }
-        let keeper = self.keeper.clone();
+        let manager = self.manager.clone();
         let coordinator = self.coordinator.take();
         let end = TurnEnd {
             program: self.program.clone(),
@@ -161,21 +161,21 @@
         };
         actix_rt::spawn(async move {
             if let Some(peer) = coordinator
-                && keeper.settle_by(&peer, &end).await
+                && manager.settle_by(&peer, &end).await
             {
                 return;
             }
             if end.scope == TurnScope::Tokens {
-                keeper.end_turn(&end);
+                manager.end_turn(&end);
                 return;
             }
             let limit = Instant::now() + BACKGROUND_LIMIT;
-            keeper.settle(&end.program, &end.turn, end.used, limit).await;
+            manager.settle(&end.program, &end.turn, end.used, limit).await;
         });
     }
 }
 
-impl TurnKeeper {
+impl TurnManager {
     pub(crate) fn new(
         store: Rc<StoreLink>,
         committer: Rc<StoreCommitter>,
@@ -261,7 +261,7 @@
     fn reservation(self: &Rc<Self>, program: &ProgramName, turn: &TurnId) -> TurnReservation {
         self.reservations.set(self.reservations.get() + 1);
         TurnReservation {
-            keeper: self.clone(),
+            manager: self.clone(),
             program: program.clone(),
             turn: turn.clone(),
             used: 0,
--- a/src/gateway/turns/reserve.rs
+++ b/src/gateway/turns/reserve.rs
@@ -7,7 +7,7 @@
 
 use super::claim::{ClaimSource, TurnClaim};
 use super::{
-    LedgerReply, RESERVE_PATIENCE, RETRY_PAUSE, ReserveError, TurnKeeper, TurnReservation,
+    LedgerReply, RESERVE_PATIENCE, RETRY_PAUSE, ReserveError, TurnManager, TurnReservation,
 };
 use crate::core::turns::{ProgramLedger, ProgramName, ReserveReply, TurnScope};
 use crate::node::platform::StoreError;
@@ -38,7 +38,7 @@
     }
 }
 
-impl TurnKeeper {
+impl TurnManager {
     /// Sets a turn's most tokens aside, durably, before it runs.
     ///
     /// A lost reply is no refusal and no grant: the same write is tried again, and finds the
--- a/src/gateway/turns/rows.rs
+++ b/src/gateway/turns/rows.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Bytes, BytesMut};
 
-use super::TurnKeeper;
+use super::TurnManager;
 use crate::core::turns::{ProgramLedger, ProgramName, TurnId, TurnRecord, split_value};
 use crate::gateway::rows::{RowKey, RowTransaction, RowVersion, StoredRow};
 
@@ -57,7 +57,7 @@
     joined.freeze()
 }
 
-impl TurnKeeper {
+impl TurnManager {
     /// Takes rows of a program into the cache.
     pub(super) fn take_rows(&self, program: &ProgramName, rows: Vec<StoredRow>) {
         let mut pieces: BTreeMap<TurnId, Vec<(usize, Bytes)>> = BTreeMap::new();
--- a/src/gateway/turns/serve.rs
+++ b/src/gateway/turns/serve.rs
@@ -9,11 +9,11 @@
 
 use super::claim::{ClaimError, ClaimSource, TurnClaim};
 use super::messages::{ChainTurn, ClaimReply, ClaimRequest, KeepRequest, TurnEnd};
-use super::{BACKGROUND_LIMIT, CLAIM_PATH, SETTLE_PATH, TurnKeeper};
+use super::{BACKGROUND_LIMIT, CLAIM_PATH, SETTLE_PATH, TurnManager};
 use crate::core::turns::{PrefixHolder, TurnRecord, TurnScope};
 use crate::util::framed::{frame, unframe};
 
-impl TurnKeeper {
+impl TurnManager {
     /// Claims a turn for a peer; none if the peer must do it itself.
     ///
     /// The reservation is the peer's from here on. It is not taken back when the peer has gone: the
@@ -63,8 +63,8 @@
         path: &str,
         body: Bytes,
     ) -> (StatusCode, Bytes) {
-        let (keeper, path) = (self.clone(), Box::<str>::from(path));
-        let work = actix_rt::spawn(async move { keeper.work_for_peer(&path, &body).await });
+        let (manager, path) = (self.clone(), Box::<str>::from(path));
+        let work = actix_rt::spawn(async move { manager.work_for_peer(&path, &body).await });
         let failed = (StatusCode::INTERNAL_SERVER_ERROR, Bytes::new());
         work.await.unwrap_or(failed)
     }
