--- a/src/gateway/turns/allowances.rs
+++ b/src/gateway/turns/allowances.rs
@@ -8,7 +8,9 @@
 use tokio::time::Instant;
 
 use super::claim::{CLAIM_TRIES, ClaimError, ClaimSource, ClaimedTurn, TurnClaim};
-use super::{BACKGROUND_LIMIT, ReserveError, TurnChain, TurnEnd, TurnManager, TurnReservation};
+use super::{
+    BACKGROUND_SETTLE_TIMEOUT, ReserveError, TurnChain, TurnEnd, TurnManager, TurnReservation,
+};
 use crate::core::turns::{
     PREALLOCATED_TURNS, PrefixHolders, ProgramLedger, ProgramName, ReserveReply, TokenAllowance,
     TurnScope,
@@ -234,7 +236,7 @@
     }
 
     async fn give_back(self: Rc<Self>, program: ProgramName, allowance: TokenAllowance) {
-        let limit = Instant::now() + BACKGROUND_LIMIT;
+        let limit = Instant::now() + BACKGROUND_SETTLE_TIMEOUT;
         self.settle(&program, allowance.name(), allowance.committed(), limit).await;
     }
 }
--- a/src/gateway/turns/coordinate.rs
+++ b/src/gateway/turns/coordinate.rs
@@ -13,7 +13,7 @@
 
 use super::claim::{ClaimError, ClaimSource, ClaimedTurn, TurnClaim};
 use super::messages::{ClaimReply, ClaimRequest, KeepRequest, TurnEnd};
-use super::{ChainError, SETTLE_PATIENCE, TurnChain, TurnManager};
+use super::{ChainError, SETTLE_COMMIT_DELAY, TurnChain, TurnManager};
 use crate::core::turns::{ProgramName, TurnId, TurnRecord, TurnScope};
 use crate::gateway::http::ExchangeError;
 use crate::gateway::latency::{FailedPeers, LatencyEstimate};
@@ -27,14 +27,14 @@
 
 /// Shortest and longest wait for a coordinator before its work is done here, and its multiple of the
 /// usual answer time: as for calls of the store, which such an answer includes.
-const PATIENCE_MIN: Duration = Duration::from_millis(120);
-const PATIENCE_MAX: Duration = Duration::from_millis(700);
-const PATIENCE_FACTOR: f64 = 4.0;
+const MIN_PEER_TIMEOUT: Duration = Duration::from_millis(120);
+const MAX_PEER_TIMEOUT: Duration = Duration::from_millis(700);
+const PEER_TIMEOUT_FACTOR: f64 = 4.0;
 /// Share of the newest answer time in the usual one: about the last eight count.
-const LATENCY_SHARE: f64 = 0.125;
+const LATENCY_WEIGHT: f64 = 0.125;
 /// How long a coordinator that did not answer is passed over: members find out within a second or so
 /// whether it is gone, and each claim that still tries waits in vain.
-const PASSED_OVER: Duration = Duration::from_millis(800);
+const COORDINATOR_EJECTION: Duration = Duration::from_millis(800);
 
 /// Who coordinates a program, as far as this instance knows.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -55,8 +55,8 @@
 
 impl Default for CoordinatorHealth {
     fn default() -> Self {
-        let failed = FailedPeers::new(PASSED_OVER);
-        Self { latency: LatencyEstimate::new(LATENCY_SHARE), failed }
+        let failed = FailedPeers::new(COORDINATOR_EJECTION);
+        Self { latency: LatencyEstimate::new(LATENCY_WEIGHT), failed }
     }
 }
 
@@ -172,8 +172,8 @@
     ) -> Result<(StatusCode, Bytes), PeerFailure> {
         let begun = Instant::now();
         let usual = self.coordinators.borrow().latency;
-        let patience = extra + usual.scaled(PATIENCE_FACTOR, PATIENCE_MIN, PATIENCE_MAX);
-        let answer = self.pool.exchange(peer, Method::POST, path, body, patience).await;
+        let timeout = extra + usual.scaled(PEER_TIMEOUT_FACTOR, MIN_PEER_TIMEOUT, MAX_PEER_TIMEOUT);
+        let answer = self.pool.exchange(peer, Method::POST, path, body, timeout).await;
         let mut coordinators = self.coordinators.borrow_mut();
         match answer {
             Ok(answer) => {
@@ -210,13 +210,13 @@
         let request =
             KeepRequest { program: program.clone(), turn: turn.clone(), limit_ms: left_ms(limit) };
         let body = frame(&request, &[&record.encode()]);
-        let answer = self.ask(peer, KEEP_PATH, body, SETTLE_PATIENCE).await;
+        let answer = self.ask(peer, KEEP_PATH, body, SETTLE_COMMIT_DELAY).await;
         matches!(answer, Ok((StatusCode::OK, _)))
     }
 
     /// Has a coordinator settle a turn that leaves no record; false if that is to be done here.
     pub(super) async fn settle_by(&self, peer: &str, end: &TurnEnd) -> bool {
-        let answer = self.ask(peer, SETTLE_PATH, frame(end, &[]), SETTLE_PATIENCE).await;
+        let answer = self.ask(peer, SETTLE_PATH, frame(end, &[]), SETTLE_COMMIT_DELAY).await;
         matches!(answer, Ok((StatusCode::OK, _)))
     }
 }
--- a/src/gateway/turns/mod.rs
+++ b/src/gateway/turns/mod.rs
@@ -40,13 +40,13 @@
 
 /// How long a reservation waits for other writes: not at all, as its turn has not begun; it takes along
 /// those that wait.
-const RESERVE_PATIENCE: Duration = Duration::ZERO;
+const RESERVE_COMMIT_DELAY: Duration = Duration::ZERO;
 /// How long a settlement waits for other writes.
-const SETTLE_PATIENCE: Duration = Duration::from_millis(50);
+const SETTLE_COMMIT_DELAY: Duration = Duration::from_millis(50);
 /// Pause before a write is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(40);
+const RETRY_DELAY: Duration = Duration::from_millis(40);
 /// How long a settlement that nobody waits for is tried.
-const BACKGROUND_LIMIT: Duration = Duration::from_secs(10);
+const BACKGROUND_SETTLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Longest key of the store is 200 bytes; the prefix and the piece's number need some.
 pub(crate) const MAX_NAME_BYTES: usize = 180;
 
@@ -169,7 +169,7 @@
                 manager.end_turn(&end);
                 return;
             }
-            let limit = Instant::now() + BACKGROUND_LIMIT;
+            let limit = Instant::now() + BACKGROUND_SETTLE_TIMEOUT;
             manager.settle(&end.program, &end.turn, end.used, limit).await;
         });
     }
@@ -216,10 +216,10 @@
         program: &ProgramName,
         version: RowVersion,
         ledger: ProgramLedger,
-        patience: Duration,
+        max_delay: Duration,
     ) -> Result<LedgerReply, StoreError> {
         let transaction = ledger_write(program, version, &ledger);
-        match self.committer.commit(transaction, patience).await? {
+        match self.committer.commit(transaction, max_delay).await? {
             CommitReply::Committed(version) => {
                 self.cache.borrow_mut().set_ledger(program, version, ledger);
                 Ok(LedgerReply::Written)
@@ -246,12 +246,12 @@
         loop {
             let (version, mut ledger) = self.ledger(program);
             ledger.retain_until(self.kept_until(retention));
-            match self.write_ledger(program, version, ledger, RESERVE_PATIENCE).await {
+            match self.write_ledger(program, version, ledger, RESERVE_COMMIT_DELAY).await {
                 Ok(LedgerReply::Written) => return Ok(()),
                 Ok(LedgerReply::Gone) => return Err(ReserveError::Expired),
                 Ok(LedgerReply::Changed) => {}
-                Err(StoreError::ReplyLost) if Instant::now() + RETRY_PAUSE < limit => {
-                    sleep(RETRY_PAUSE).await;
+                Err(StoreError::ReplyLost) if Instant::now() + RETRY_DELAY < limit => {
+                    sleep(RETRY_DELAY).await;
                 }
                 Err(error) => return Err(ReserveError::Store(error)),
             }
@@ -288,7 +288,7 @@
         let checks = first.into_iter().collect();
         let transaction = RowTransaction { checks, puts, removals: Vec::new() };
         loop {
-            match self.committer.commit(transaction.clone(), SETTLE_PATIENCE).await {
+            match self.committer.commit(transaction.clone(), SETTLE_COMMIT_DELAY).await {
                 // In a conflict the row is there: an earlier try took effect, its reply was lost.
                 Ok(CommitReply::Committed(_) | CommitReply::Conflict(_)) => break,
                 Err(error) => {
@@ -312,7 +312,7 @@
         loop {
             let (version, mut ledger) = self.ledger(program);
             ledger.settle(turn, used);
-            match self.write_ledger(program, version, ledger, SETTLE_PATIENCE).await {
+            match self.write_ledger(program, version, ledger, SETTLE_COMMIT_DELAY).await {
                 Ok(LedgerReply::Written) => return,
                 // An earlier try took effect, and only its reply was lost.
                 Ok(_) if !self.ledger(program).1.is_reserved(turn) => return,
@@ -333,10 +333,10 @@
     /// Waits before a write is tried again, while the store is away until it returns; false if the
     /// limit leaves no time for that.
     async fn pause_before_retry(&self, limit: Instant) -> bool {
-        if Instant::now() + RETRY_PAUSE >= limit {
+        if Instant::now() + RETRY_DELAY >= limit {
             return false;
         }
-        sleep(RETRY_PAUSE).await;
+        sleep(RETRY_DELAY).await;
         // Not later than the caller gives up, though nothing is lost by trying on.
         let _ = timeout_at(limit, self.store.reachable()).await;
         true
--- a/src/gateway/turns/reserve.rs
+++ b/src/gateway/turns/reserve.rs
@@ -7,7 +7,7 @@
 
 use super::claim::{ClaimSource, TurnClaim};
 use super::{
-    LedgerReply, RESERVE_PATIENCE, RETRY_PAUSE, ReserveError, TurnManager, TurnReservation,
+    LedgerReply, RESERVE_COMMIT_DELAY, RETRY_DELAY, ReserveError, TurnManager, TurnReservation,
 };
 use crate::core::turns::{ProgramLedger, ProgramName, ReserveReply, TurnScope};
 use crate::node::platform::StoreError;
@@ -125,7 +125,7 @@
         if granted.is_empty() {
             return left;
         }
-        let reply = self.write_ledger(program, version, ledger, RESERVE_PATIENCE).await;
+        let reply = self.write_ledger(program, version, ledger, RESERVE_COMMIT_DELAY).await;
         if !matches!(reply, Ok(LedgerReply::Written)) {
             granted.iter().for_each(|pending| self.take_back(&pending.claim));
         }
@@ -225,14 +225,14 @@
     error: &StoreError,
 ) -> Vec<PendingReservation> {
     group.iter_mut().for_each(|pending| pending.doubtful = true);
-    let again = Instant::now() + RETRY_PAUSE;
+    let again = Instant::now() + RETRY_DELAY;
     let (left, late): (Vec<_>, Vec<_>) =
         group.into_iter().partition(|pending| again < pending.limit);
     for pending in late {
         pending.end(Err(ReserveError::Store(error.clone())));
     }
     if !left.is_empty() {
-        sleep(RETRY_PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
     left
 }
--- a/src/gateway/turns/serve.rs
+++ b/src/gateway/turns/serve.rs
@@ -9,7 +9,7 @@
 
 use super::claim::{ClaimError, ClaimSource, TurnClaim};
 use super::messages::{ChainTurn, ClaimReply, ClaimRequest, KeepRequest, TurnEnd};
-use super::{BACKGROUND_LIMIT, CLAIM_PATH, SETTLE_PATH, TurnManager};
+use super::{BACKGROUND_SETTLE_TIMEOUT, CLAIM_PATH, SETTLE_PATH, TurnManager};
 use crate::core::turns::{PrefixHolder, TurnRecord, TurnScope};
 use crate::util::framed::{frame, unframe};
 
@@ -85,7 +85,7 @@
                 self.end_turn(&request);
                 return (StatusCode::OK, Bytes::new());
             }
-            let limit = Instant::now() + BACKGROUND_LIMIT;
+            let limit = Instant::now() + BACKGROUND_SETTLE_TIMEOUT;
             self.settle(&request.program, &request.turn, request.used, limit).await;
             return (StatusCode::OK, Bytes::new());
         }
