--- a/src/gateway/turns/allowances.rs
+++ b/src/gateway/turns/allowances.rs
@@ -93,7 +93,7 @@
     pub(super) async fn claim_tokens(
         self: &Rc<Self>,
         claim: &TurnClaim,
-        limit: Instant,
+        deadline: Instant,
         source: ClaimSource,
     ) -> Result<ClaimedTurn, ClaimError> {
         let coordinates = matches!(source, ClaimSource::Own | ClaimSource::Peer);
@@ -107,7 +107,7 @@
             return Ok(self.claimed(claim, held));
         }
         for _ in 0..CLAIM_TRIES {
-            match self.reserve(claim, limit, source, &mut held).await {
+            match self.reserve(claim, deadline, source, &mut held).await {
                 Ok(()) => return Ok(self.claimed(claim, held)),
                 Err(ReserveError::Expired) => {}
                 Err(ReserveError::Exhausted { committed }) => {
@@ -236,7 +236,7 @@
     }
 
     async fn give_back(self: Rc<Self>, program: ProgramName, allowance: TokenAllowance) {
-        let limit = Instant::now() + BACKGROUND_SETTLE_TIMEOUT;
-        self.settle(&program, allowance.name(), allowance.committed(), limit).await;
+        let deadline = Instant::now() + BACKGROUND_SETTLE_TIMEOUT;
+        self.settle(&program, allowance.name(), allowance.committed(), deadline).await;
     }
 }
--- a/src/gateway/turns/claim.rs
+++ b/src/gateway/turns/claim.rs
@@ -87,11 +87,11 @@
     pub(super) async fn claim_here(
         self: &Rc<Self>,
         claim: &TurnClaim,
-        limit: Instant,
+        deadline: Instant,
         source: ClaimSource,
     ) -> Result<ClaimedTurn, ClaimError> {
         if claim.scope == TurnScope::Tokens {
-            return self.claim_tokens(claim, limit, source).await;
+            return self.claim_tokens(claim, deadline, source).await;
         }
         let mut held = self.reservation(&claim.program, &claim.turn);
         // Dropped unsettled, it takes back what a coordinator may have set aside unseen.
@@ -105,7 +105,7 @@
                 ChainError::NoSuchTurn => ClaimError::NoSuchTurn,
                 ChainError::Store(error) => held.failure(error),
             })?;
-            match self.reserve_with_origins(claim, &chain, limit, source, &mut held).await {
+            match self.reserve_with_origins(claim, &chain, deadline, source, &mut held).await {
                 Ok(()) => return Ok(ClaimedTurn { chain, holder: None, reservation: held }),
                 Err(ReserveError::Expired) => {}
                 Err(ReserveError::Exhausted { committed }) => {
@@ -121,13 +121,13 @@
         self: &Rc<Self>,
         claim: &TurnClaim,
         chain: &TurnChain,
-        limit: Instant,
+        deadline: Instant,
         source: ClaimSource,
         held: &mut TurnReservation,
     ) -> Result<(), ReserveError> {
         for origin in chain.origins() {
-            self.keep(&origin, claim.retention, limit).await?;
+            self.keep(&origin, claim.retention, deadline).await?;
         }
-        self.reserve(claim, limit, source, held).await
+        self.reserve(claim, deadline, source, held).await
     }
 }
--- a/src/gateway/turns/coordinate.rs
+++ b/src/gateway/turns/coordinate.rs
@@ -68,8 +68,8 @@
     Unknown,
 }
 
-fn left_ms(limit: Instant) -> u64 {
-    limit.saturating_duration_since(Instant::now()).as_millis() as u64
+fn remaining_ms(deadline: Instant) -> u64 {
+    deadline.saturating_duration_since(Instant::now()).as_millis() as u64
 }
 
 impl TurnManager {
@@ -78,23 +78,23 @@
         self: &Rc<Self>,
         coordinator: TurnCoordinator,
         claim: TurnClaim,
-        limit: Instant,
+        deadline: Instant,
     ) -> Result<ClaimedTurn, ClaimError> {
         let peer = match coordinator {
             TurnCoordinator::Here => {
-                return self.claim_here(&claim, limit, ClaimSource::Own).await;
+                return self.claim_here(&claim, deadline, ClaimSource::Own).await;
             }
             TurnCoordinator::Nobody => {
-                return self.claim_here(&claim, limit, ClaimSource::StandIn).await;
+                return self.claim_here(&claim, deadline, ClaimSource::StandIn).await;
             }
             TurnCoordinator::Peer(peer) => peer,
         };
         if self.coordinators.borrow().failed.contains(&peer) {
-            return self.claim_here(&claim, limit, ClaimSource::StandIn).await;
+            return self.claim_here(&claim, deadline, ClaimSource::StandIn).await;
         }
         // It goes on if the caller leaves meanwhile; what it was granted is then given back.
         let manager = self.clone();
-        let asked = actix_rt::spawn(async move { manager.claim_by(&peer, &claim, limit).await });
+        let asked = actix_rt::spawn(async move { manager.claim_by(&peer, &claim, deadline).await });
         asked.await.unwrap_or(Err(ClaimError::Doubtful(StoreError::ReplyLost)))
     }
 
@@ -102,11 +102,12 @@
         self: &Rc<Self>,
         peer: &str,
         claim: &TurnClaim,
-        limit: Instant,
+        deadline: Instant,
     ) -> Result<ClaimedTurn, ClaimError> {
         let knows_chain = claim.scope == TurnScope::Tokens
             || claim.previous.as_ref().is_none_or(|turn| self.has_chain(turn));
-        let request = ClaimRequest { claim: claim.clone(), knows_chain, limit_ms: left_ms(limit) };
+        let request =
+            ClaimRequest { claim: claim.clone(), knows_chain, limit_ms: remaining_ms(deadline) };
         let source = match self.ask(peer, CLAIM_PATH, frame(&request, &[]), Duration::ZERO).await {
             Ok((StatusCode::OK, body)) => match self.take_claim(peer, claim, &body).await {
                 Some(result) => return result,
@@ -116,7 +117,7 @@
             Err(PeerFailure::NotSent) => ClaimSource::StandIn,
         };
         log::debug!("event=claim_taken_over turn={} peer={peer}", claim.turn);
-        self.claim_here(claim, limit, source).await
+        self.claim_here(claim, deadline, source).await
     }
 
     /// Reads a coordinator's reply; none if it makes no sense.
@@ -202,13 +203,16 @@
         program: &ProgramName,
         turn: &TurnId,
         record: &TurnRecord,
-        limit: Instant,
+        deadline: Instant,
     ) -> bool {
         if self.coordinators.borrow().failed.contains(peer) {
             return false;
         }
-        let request =
-            KeepRequest { program: program.clone(), turn: turn.clone(), limit_ms: left_ms(limit) };
+        let request = KeepRequest {
+            program: program.clone(),
+            turn: turn.clone(),
+            limit_ms: remaining_ms(deadline),
+        };
         let body = frame(&request, &[&record.encode()]);
         let answer = self.ask(peer, KEEP_PATH, body, SETTLE_COMMIT_DELAY).await;
         matches!(answer, Ok((StatusCode::OK, _)))
--- a/src/gateway/turns/mod.rs
+++ b/src/gateway/turns/mod.rs
@@ -124,19 +124,19 @@
     /// Writes the turn, which also settles what it used; it is durable when this returns.
     ///
     /// The write goes on if the caller of this function is dropped.
-    pub(crate) async fn complete(mut self, record: TurnRecord, limit: Instant) -> bool {
+    pub(crate) async fn complete(mut self, record: TurnRecord, deadline: Instant) -> bool {
         self.settled = true;
         let manager = self.manager.clone();
         let (program, turn) = (self.program.clone(), self.turn.clone());
         let coordinator = self.coordinator.take();
         let keep = async move {
             if let Some(peer) = coordinator
-                && manager.keep_by(&peer, &program, &turn, &record, limit).await
+                && manager.keep_by(&peer, &program, &turn, &record, deadline).await
             {
                 manager.cache.borrow_mut().insert(&program, turn, record.into());
                 return true;
             }
-            manager.record(&program, &turn, record, limit).await
+            manager.record(&program, &turn, record, deadline).await
         };
         actix_rt::spawn(keep).await.unwrap_or(false)
     }
@@ -169,8 +169,8 @@
                 manager.end_turn(&end);
                 return;
             }
-            let limit = Instant::now() + BACKGROUND_SETTLE_TIMEOUT;
-            manager.settle(&end.program, &end.turn, end.used, limit).await;
+            let deadline = Instant::now() + BACKGROUND_SETTLE_TIMEOUT;
+            manager.settle(&end.program, &end.turn, end.used, deadline).await;
         });
     }
 }
@@ -241,7 +241,7 @@
         &self,
         program: &ProgramName,
         retention: Duration,
-        limit: Instant,
+        deadline: Instant,
     ) -> Result<(), ReserveError> {
         loop {
             let (version, mut ledger) = self.ledger(program);
@@ -250,7 +250,7 @@
                 Ok(LedgerReply::Written) => return Ok(()),
                 Ok(LedgerReply::Gone) => return Err(ReserveError::Expired),
                 Ok(LedgerReply::Changed) => {}
-                Err(StoreError::ReplyLost) if Instant::now() + RETRY_DELAY < limit => {
+                Err(StoreError::ReplyLost) if Instant::now() + RETRY_DELAY < deadline => {
                     sleep(RETRY_DELAY).await;
                 }
                 Err(error) => return Err(ReserveError::Store(error)),
@@ -281,7 +281,7 @@
         program: &ProgramName,
         turn: &TurnId,
         record: TurnRecord,
-        limit: Instant,
+        deadline: Instant,
     ) -> bool {
         let puts = self.pieces(program, turn, &record);
         let first = puts.first().map(|(key, _)| (key.clone(), 0));
@@ -292,7 +292,7 @@
                 // In a conflict the row is there: an earlier try took effect, its reply was lost.
                 Ok(CommitReply::Committed(_) | CommitReply::Conflict(_)) => break,
                 Err(error) => {
-                    if self.pause_before_retry(limit).await {
+                    if self.pause_before_retry(deadline).await {
                         continue;
                     }
                     log::warn!(
@@ -308,7 +308,7 @@
     }
 
     /// Replaces the reservation of a turn that broke off by what was used.
-    async fn settle(&self, program: &ProgramName, turn: &TurnId, used: Tokens, limit: Instant) {
+    async fn settle(&self, program: &ProgramName, turn: &TurnId, used: Tokens, deadline: Instant) {
         loop {
             let (version, mut ledger) = self.ledger(program);
             ledger.settle(turn, used);
@@ -318,7 +318,7 @@
                 Ok(_) if !self.ledger(program).1.is_reserved(turn) => return,
                 Ok(_) => {}
                 Err(error) => {
-                    if self.pause_before_retry(limit).await {
+                    if self.pause_before_retry(deadline).await {
                         continue;
                     }
                     log::warn!(
@@ -332,13 +332,13 @@
 
     /// Waits before a write is tried again, while the store is away until it returns; false if the
     /// limit leaves no time for that.
-    async fn pause_before_retry(&self, limit: Instant) -> bool {
-        if Instant::now() + RETRY_DELAY >= limit {
+    async fn pause_before_retry(&self, deadline: Instant) -> bool {
+        if Instant::now() + RETRY_DELAY >= deadline {
             return false;
         }
         sleep(RETRY_DELAY).await;
         // Not later than the caller gives up, though nothing is lost by trying on.
-        let _ = timeout_at(limit, self.store.reachable()).await;
+        let _ = timeout_at(deadline, self.store.reachable()).await;
         true
     }
 }
--- a/src/gateway/turns/reserve.rs
+++ b/src/gateway/turns/reserve.rs
@@ -22,7 +22,7 @@
 /// A reservation that waits for its program's ledger.
 pub(super) struct PendingReservation {
     claim: TurnClaim,
-    limit: Instant,
+    deadline: Instant,
     /// Whether all that the store has of the program was read since its ledger last changed.
     fresh: bool,
     doubtful: bool,
@@ -51,7 +51,7 @@
     pub(super) async fn reserve(
         self: &Rc<Self>,
         claim: &TurnClaim,
-        limit: Instant,
+        deadline: Instant,
         source: ClaimSource,
         held: &mut TurnReservation,
     ) -> Result<(), ReserveError> {
@@ -59,7 +59,7 @@
         let doubtful = !held.settled;
         let pending = PendingReservation {
             claim: claim.clone(),
-            limit,
+            deadline,
             fresh: false,
             doubtful,
             is_ahead: matches!(source, ClaimSource::Own | ClaimSource::Peer),
@@ -227,7 +227,7 @@
     group.iter_mut().for_each(|pending| pending.doubtful = true);
     let again = Instant::now() + RETRY_DELAY;
     let (left, late): (Vec<_>, Vec<_>) =
-        group.into_iter().partition(|pending| again < pending.limit);
+        group.into_iter().partition(|pending| again < pending.deadline);
     for pending in late {
         pending.end(Err(ReserveError::Store(error.clone())));
     }
--- a/src/gateway/turns/serve.rs
+++ b/src/gateway/turns/serve.rs
@@ -20,8 +20,8 @@
     /// peer may have claimed the turn another way and be running it under this reservation.
     async fn claim_for(self: &Rc<Self>, request: &ClaimRequest) -> Option<Bytes> {
         let claim = &request.claim;
-        let limit = Instant::now() + Duration::from_millis(request.limit_ms);
-        let reply = match self.claim_here(claim, limit, ClaimSource::Peer).await {
+        let deadline = Instant::now() + Duration::from_millis(request.limit_ms);
+        let reply = match self.claim_here(claim, deadline, ClaimSource::Peer).await {
             Ok(claimed) => {
                 claimed.reservation.hand_over();
                 let known = if request.knows_chain { &[][..] } else { &claimed.chain.turns[..] };
@@ -85,14 +85,14 @@
                 self.end_turn(&request);
                 return (StatusCode::OK, Bytes::new());
             }
-            let limit = Instant::now() + BACKGROUND_SETTLE_TIMEOUT;
-            self.settle(&request.program, &request.turn, request.used, limit).await;
+            let deadline = Instant::now() + BACKGROUND_SETTLE_TIMEOUT;
+            self.settle(&request.program, &request.turn, request.used, deadline).await;
             return (StatusCode::OK, Bytes::new());
         }
         let Ok((request, record)) = unframe::<KeepRequest>(body) else { return malformed };
         let Ok(record) = TurnRecord::decode(record) else { return malformed };
-        let limit = Instant::now() + Duration::from_millis(request.limit_ms);
-        match self.record(&request.program, &request.turn, record, limit).await {
+        let deadline = Instant::now() + Duration::from_millis(request.limit_ms);
+        match self.record(&request.program, &request.turn, record, deadline).await {
             true => (StatusCode::OK, Bytes::new()),
             false => unable,
         }
