--- a/src/gateway/desk.rs
+++ b/src/gateway/desk.rs
@@ -9,7 +9,7 @@
 use super::news::NEWS_PATH;
 use super::quotas::LIMITS_PATH;
 use super::store::{RELAY_PATH, RelayError};
-use super::turns::{CLAIM_PATH, KEEP_PATH, SETTLE_PATH};
+use super::turns::{CLAIM_PATH, PERSIST_PATH, SETTLE_PATH};
 use crate::util::http_server::{
     HttpHandler, HttpRequest, HttpResponse, body_response, handler, text_response,
 };
@@ -62,7 +62,7 @@
             match (&request.method, &*request.path) {
                 (&Method::POST, RELAY_PATH) => relay(&gateway, &request.body).await,
                 (&Method::POST, NEWS_PATH) => news(&gateway, &request.body).await,
-                (&Method::POST, CLAIM_PATH | KEEP_PATH | SETTLE_PATH) => {
+                (&Method::POST, CLAIM_PATH | PERSIST_PATH | SETTLE_PATH) => {
                     let (status, reply) =
                         gateway.turns.serve_peer(&request.path, request.body).await;
                     body_response(status, BINARY, reply)
--- a/src/gateway/turns/allowances.rs
+++ b/src/gateway/turns/allowances.rs
@@ -79,7 +79,7 @@
 impl TurnClaim {
     /// How long its program's ledger is to be kept. A ledger that several turns share is not written at
     /// each, so it is kept longer.
-    pub(super) fn kept_for(&self) -> Duration {
+    pub(super) fn ledger_retention(&self) -> Duration {
         match self.scope {
             TurnScope::History => self.retention,
             TurnScope::Tokens => self.retention + self.retention / 2,
@@ -136,7 +136,7 @@
         let Some(held) = allowances.held.get_mut(&claim.program) else { return false };
         let Some((_, ledger)) = self.cache.borrow().ledger(&claim.program) else { return false };
         let demand = held.allowance.demand(&claim.turn, claim.most);
-        let lasts = ledger.retained_until() >= self.kept_until(claim.retention);
+        let lasts = ledger.retained_until() >= self.retained_until(claim.retention);
         if !lasts || ledger.reserved(held.allowance.name()) < demand.min_tokens {
             return false;
         }
--- a/src/gateway/turns/claim.rs
+++ b/src/gateway/turns/claim.rs
@@ -126,7 +126,7 @@
         held: &mut TurnReservation,
     ) -> Result<(), ReserveError> {
         for origin in chain.origins() {
-            self.keep(&origin, claim.retention, deadline).await?;
+            self.extend_retention(&origin, claim.retention, deadline).await?;
         }
         self.reserve(claim, deadline, source, held).await
     }
--- a/src/gateway/turns/coordinate.rs
+++ b/src/gateway/turns/coordinate.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 use super::claim::{ClaimError, ClaimSource, ClaimedTurn, TurnClaim};
-use super::messages::{ClaimReply, ClaimRequest, KeepRequest, TurnEnd};
+use super::messages::{ClaimReply, ClaimRequest, PersistRequest, TurnEnd};
 use super::{ChainError, SETTLE_COMMIT_DELAY, TurnChain, TurnManager};
 use crate::core::turns::{ProgramName, TurnId, TurnRecord, TurnScope};
 use crate::gateway::http::ExchangeError;
@@ -22,7 +22,7 @@
 
 /// Paths on the address for peers.
 pub(crate) const CLAIM_PATH: &str = "/claim";
-pub(crate) const KEEP_PATH: &str = "/keep";
+pub(crate) const PERSIST_PATH: &str = "/keep";
 pub(crate) const SETTLE_PATH: &str = "/settle";
 
 /// Shortest and longest wait for a coordinator before its work is done here, and its multiple of the
@@ -94,11 +94,12 @@
         }
         // It goes on if the caller leaves meanwhile; what it was granted is then given back.
         let manager = self.clone();
-        let asked = actix_rt::spawn(async move { manager.claim_by(&peer, &claim, deadline).await });
+        let asked =
+            actix_rt::spawn(async move { manager.claim_via_peer(&peer, &claim, deadline).await });
         asked.await.unwrap_or(Err(ClaimError::Doubtful(StoreError::ReplyLost)))
     }
 
-    async fn claim_by(
+    async fn claim_via_peer(
         self: &Rc<Self>,
         peer: &str,
         claim: &TurnClaim,
@@ -197,7 +198,7 @@
     }
 
     /// Has a coordinator keep a turn; false if that is to be done here.
-    pub(super) async fn keep_by(
+    pub(super) async fn persist_via_peer(
         &self,
         peer: &str,
         program: &ProgramName,
@@ -208,18 +209,18 @@
         if self.coordinators.borrow().failed.contains(peer) {
             return false;
         }
-        let request = KeepRequest {
+        let request = PersistRequest {
             program: program.clone(),
             turn: turn.clone(),
             limit_ms: remaining_ms(deadline),
         };
         let body = frame(&request, &[&record.encode()]);
-        let answer = self.ask(peer, KEEP_PATH, body, SETTLE_COMMIT_DELAY).await;
+        let answer = self.ask(peer, PERSIST_PATH, body, SETTLE_COMMIT_DELAY).await;
         matches!(answer, Ok((StatusCode::OK, _)))
     }
 
     /// Has a coordinator settle a turn that leaves no record; false if that is to be done here.
-    pub(super) async fn settle_by(&self, peer: &str, end: &TurnEnd) -> bool {
+    pub(super) async fn settle_via_peer(&self, peer: &str, end: &TurnEnd) -> bool {
         let answer = self.ask(peer, SETTLE_PATH, frame(end, &[]), SETTLE_COMMIT_DELAY).await;
         matches!(answer, Ok((StatusCode::OK, _)))
     }
--- a/src/gateway/turns/messages.rs
+++ b/src/gateway/turns/messages.rs
@@ -41,7 +41,7 @@
 
 /// A finished turn on its way to a coordinator; its record follows.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) struct KeepRequest {
+pub(super) struct PersistRequest {
     pub(super) program: ProgramName,
     pub(super) turn: TurnId,
     pub(super) limit_ms: u64,
--- a/src/gateway/turns/messages_tests.rs
+++ b/src/gateway/turns/messages_tests.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use super::messages::{ClaimReply, ClaimRequest, KeepRequest, TurnEnd};
+use super::messages::{ClaimReply, ClaimRequest, PersistRequest, TurnEnd};
 
 fn rewrite<T: Serialize + DeserializeOwned>(text: &str) -> String {
     let value: T = serde_json::from_str(text).expect("the text is readable");
@@ -20,7 +20,7 @@
     rewrite::<Vec<ClaimReply>>,
     r#"[{"granted":{"chain":[{"turn":"t1","program":"p","bytes":9}],"holder":{"line":"l","upstream":"u","born":12}}},"no_such_turn","not_admitted",{"exhausted":{"committed":80}}]"#
 )]
-#[case::keep(rewrite::<KeepRequest>, r#"{"program":"p","turn":"t","limit_ms":250}"#)]
+#[case::persist(rewrite::<PersistRequest>, r#"{"program":"p","turn":"t","limit_ms":250}"#)]
 #[case::end(
     rewrite::<TurnEnd>,
     r#"{"program":"p","turn":"t","used":5,"scope":"history","ran_at":{"line":null,"upstream":"u","born":null}}"#
--- a/src/gateway/turns/mod.rs
+++ b/src/gateway/turns/mod.rs
@@ -35,7 +35,7 @@
 
 pub(crate) use self::chain::{ChainError, TurnChain};
 pub(crate) use self::claim::{ClaimError, ClaimedTurn, TurnClaim};
-pub(crate) use self::coordinate::{CLAIM_PATH, KEEP_PATH, SETTLE_PATH, TurnCoordinator};
+pub(crate) use self::coordinate::{CLAIM_PATH, PERSIST_PATH, SETTLE_PATH, TurnCoordinator};
 pub(crate) use self::rows::{LEDGER_KEY, TABLE, index_key, parse_turn_key, row_key};
 
 /// How long a reservation waits for other writes: not at all, as its turn has not begun; it takes along
@@ -129,16 +129,16 @@
         let manager = self.manager.clone();
         let (program, turn) = (self.program.clone(), self.turn.clone());
         let coordinator = self.coordinator.take();
-        let keep = async move {
+        let persist = async move {
             if let Some(peer) = coordinator
-                && manager.keep_by(&peer, &program, &turn, &record, deadline).await
+                && manager.persist_via_peer(&peer, &program, &turn, &record, deadline).await
             {
                 manager.cache.borrow_mut().insert(&program, turn, record.into());
                 return true;
             }
             manager.record(&program, &turn, record, deadline).await
         };
-        actix_rt::spawn(keep).await.unwrap_or(false)
+        actix_rt::spawn(persist).await.unwrap_or(false)
     }
 }
 
@@ -161,7 +161,7 @@
         };
         actix_rt::spawn(async move {
             if let Some(peer) = coordinator
-                && manager.settle_by(&peer, &end).await
+                && manager.settle_via_peer(&peer, &end).await
             {
                 return;
             }
@@ -232,12 +232,12 @@
     }
 
     /// When what is used now expires, by the store's clock.
-    fn kept_until(&self, retention: Duration) -> u64 {
+    fn retained_until(&self, retention: Duration) -> u64 {
         self.store.now_millis() + retention.as_millis() as u64
     }
 
     /// Keeps another program's turns as long as those that go on from them.
-    async fn keep(
+    async fn extend_retention(
         &self,
         program: &ProgramName,
         retention: Duration,
@@ -245,7 +245,7 @@
     ) -> Result<(), ReserveError> {
         loop {
             let (version, mut ledger) = self.ledger(program);
-            ledger.retain_until(self.kept_until(retention));
+            ledger.retain_until(self.retained_until(retention));
             match self.write_ledger(program, version, ledger, RESERVE_COMMIT_DELAY).await {
                 Ok(LedgerReply::Written) => return Ok(()),
                 Ok(LedgerReply::Gone) => return Err(ReserveError::Expired),
--- a/src/gateway/turns/reserve.rs
+++ b/src/gateway/turns/reserve.rs
@@ -163,7 +163,7 @@
             };
             match reply {
                 ReserveReply::Reserved => {
-                    ledger.retain_until(self.kept_until(claim.kept_for()));
+                    ledger.retain_until(self.retained_until(claim.ledger_retention()));
                     granted.push(pending);
                 }
                 ReserveReply::Exhausted { committed, permanent } if pending.fresh || permanent => {
--- a/src/gateway/turns/serve.rs
+++ b/src/gateway/turns/serve.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use super::claim::{ClaimError, ClaimSource, TurnClaim};
-use super::messages::{ChainTurn, ClaimReply, ClaimRequest, KeepRequest, TurnEnd};
+use super::messages::{ChainTurn, ClaimReply, ClaimRequest, PersistRequest, TurnEnd};
 use super::{BACKGROUND_SETTLE_TIMEOUT, CLAIM_PATH, SETTLE_PATH, TurnManager};
 use crate::core::turns::{PrefixHolder, TurnRecord, TurnScope};
 use crate::util::framed::{frame, unframe};
@@ -89,7 +89,7 @@
             self.settle(&request.program, &request.turn, request.used, deadline).await;
             return (StatusCode::OK, Bytes::new());
         }
-        let Ok((request, record)) = unframe::<KeepRequest>(body) else { return malformed };
+        let Ok((request, record)) = unframe::<PersistRequest>(body) else { return malformed };
         let Ok(record) = TurnRecord::decode(record) else { return malformed };
         let deadline = Instant::now() + Duration::from_millis(request.limit_ms);
         match self.record(&request.program, &request.turn, record, deadline).await {
