--- a/src/gateway/call/turn.rs
+++ b/src/gateway/call/turn.rs
@@ -163,9 +163,9 @@
 
     fn coordinator(&self, program: &ProgramName) -> TurnCoordinator {
         if !self.settings.uses(GatewayMechanism::Coordinators) {
-            return TurnCoordinator::Nobody;
+            return TurnCoordinator::Unassigned;
         }
-        self.members.coordinator(program).map_or(TurnCoordinator::Here, TurnCoordinator::Peer)
+        self.members.coordinator(program).map_or(TurnCoordinator::Local, TurnCoordinator::Peer)
     }
 
     /// Claims the turn at the instance that coordinates its program, or here.
--- a/src/gateway/turns/allowances.rs
+++ b/src/gateway/turns/allowances.rs
@@ -30,7 +30,7 @@
     /// Where the last turn of each line of the program ran.
     lines: PrefixHolders,
     /// Whether it holds no tokens ahead, as another instance coordinates the program.
-    stands_in: bool,
+    is_proxy: bool,
 }
 
 /// The allowances that this instance holds, by program.
@@ -50,14 +50,14 @@
 }
 
 impl ProgramAllowances {
-    fn get_or_make(&mut self, program: &ProgramName, stands_in: bool) -> &mut HeldAllowance {
+    fn get_or_make(&mut self, program: &ProgramName, is_proxy: bool) -> &mut HeldAllowance {
         let (life, made) = (self.life, &mut self.made);
         self.held.entry(program.clone()).or_insert_with(|| {
             *made += 1;
             let name = format!("{life:016x}-{made}").into();
             let allowance = TokenAllowance::new(name);
             let lines = PrefixHolders::default();
-            HeldAllowance { allowance, used_at: Instant::now(), lines, stands_in }
+            HeldAllowance { allowance, used_at: Instant::now(), lines, is_proxy }
         })
     }
 
@@ -96,7 +96,7 @@
         deadline: Instant,
         source: ClaimSource,
     ) -> Result<ClaimedTurn, ClaimError> {
-        let coordinates = matches!(source, ClaimSource::Own | ClaimSource::Peer);
+        let coordinates = matches!(source, ClaimSource::Coordinator | ClaimSource::Peer);
         if claim.only_known && coordinates && !self.cache.borrow().has_ledger(&claim.program) {
             return Err(ClaimError::NotAdmitted);
         }
@@ -155,7 +155,7 @@
     ) -> ReserveReply {
         let mut allowances = self.allowances.borrow_mut();
         let held = allowances.get_or_make(&claim.program, !is_ahead);
-        let is_ahead = is_ahead && !held.stands_in;
+        let is_ahead = is_ahead && !held.is_proxy;
         let demand = held.allowance.demand(&claim.turn, claim.most);
         let ahead = if is_ahead { claim.most.saturating_mul(PREALLOCATED_TURNS) } else { 0 };
         let reply = ledger.extend(held.allowance.name(), demand, ahead, claim.budget);
@@ -185,7 +185,7 @@
             held.lines.record(line.clone());
         }
         // The coordinator needs what is left here.
-        if held.stands_in && held.allowance.is_idle() {
+        if held.is_proxy && held.allowance.is_idle() {
             let allowance = held.allowance.clone();
             allowances.forget(program);
             let returned = self.clone().give_back(program.clone(), allowance);
@@ -218,7 +218,7 @@
         let lost = not_coordinated(in_use.map(|(program, _)| program).collect());
         for program in lost {
             let Some(held) = allowances.held.get_mut(&program) else { continue };
-            held.stands_in = true;
+            held.is_proxy = true;
             if held.allowance.is_idle() {
                 let allowance = held.allowance.clone();
                 allowances.forget(&program);
--- a/src/gateway/turns/claim.rs
+++ b/src/gateway/turns/claim.rs
@@ -40,11 +40,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ClaimSource {
     /// This instance, which coordinates the program.
-    Own,
+    Coordinator,
     /// This instance, instead of a coordinator that has not heard of the claim, or where there is none.
-    StandIn,
+    Proxy,
     /// This instance, after a coordinator whose reservation may take effect unseen.
-    TakenOver,
+    Takeover,
     /// A peer, which may claim the turn another way and run it under this very reservation: taken back
     /// here, the running turn's tokens would be counted nowhere.
     Peer,
@@ -95,7 +95,7 @@
         }
         let mut held = self.reservation(&claim.program, &claim.turn);
         // Dropped unsettled, it takes back what a coordinator may have set aside unseen.
-        held.settled = source != ClaimSource::TakenOver;
+        held.settled = source != ClaimSource::Takeover;
         for _ in 0..CLAIM_TRIES {
             let chain = match &claim.previous {
                 Some(previous) => self.chain(&claim.program, previous).await,
--- a/src/gateway/turns/coordinate.rs
+++ b/src/gateway/turns/coordinate.rs
@@ -39,11 +39,11 @@
 /// Who coordinates a program, as far as this instance knows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum TurnCoordinator {
-    Here,
+    Local,
     /// The instance at this address for peers.
     Peer(Box<str>),
     /// Each instance claims its own turns.
-    Nobody,
+    Unassigned,
 }
 
 /// What is known of coordinators as peers.
@@ -81,16 +81,16 @@
         deadline: Instant,
     ) -> Result<ClaimedTurn, ClaimError> {
         let peer = match coordinator {
-            TurnCoordinator::Here => {
-                return self.claim_here(&claim, deadline, ClaimSource::Own).await;
+            TurnCoordinator::Local => {
+                return self.claim_here(&claim, deadline, ClaimSource::Coordinator).await;
             }
-            TurnCoordinator::Nobody => {
-                return self.claim_here(&claim, deadline, ClaimSource::StandIn).await;
+            TurnCoordinator::Unassigned => {
+                return self.claim_here(&claim, deadline, ClaimSource::Proxy).await;
             }
             TurnCoordinator::Peer(peer) => peer,
         };
         if self.coordinators.borrow().failed.contains(&peer) {
-            return self.claim_here(&claim, deadline, ClaimSource::StandIn).await;
+            return self.claim_here(&claim, deadline, ClaimSource::Proxy).await;
         }
         // It goes on if the caller leaves meanwhile; what it was granted is then given back.
         let manager = self.clone();
@@ -112,10 +112,10 @@
         let source = match self.ask(peer, CLAIM_PATH, frame(&request, &[]), Duration::ZERO).await {
             Ok((StatusCode::OK, body)) => match self.take_claim(peer, claim, &body).await {
                 Some(result) => return result,
-                None => ClaimSource::TakenOver,
+                None => ClaimSource::Takeover,
             },
-            Ok(_) | Err(PeerFailure::Unknown) => ClaimSource::TakenOver,
-            Err(PeerFailure::NotSent) => ClaimSource::StandIn,
+            Ok(_) | Err(PeerFailure::Unknown) => ClaimSource::Takeover,
+            Err(PeerFailure::NotSent) => ClaimSource::Proxy,
         };
         log::debug!("event=claim_taken_over turn={} peer={peer}", claim.turn);
         self.claim_here(claim, deadline, source).await
--- a/src/gateway/turns/reserve.rs
+++ b/src/gateway/turns/reserve.rs
@@ -62,7 +62,7 @@
             deadline,
             fresh: false,
             doubtful,
-            is_ahead: matches!(source, ClaimSource::Own | ClaimSource::Peer),
+            is_ahead: matches!(source, ClaimSource::Coordinator | ClaimSource::Peer),
             reply,
         };
         // A caller that leaves while this is under way drops what is held.
