--- a/src/gateway/call/turn.rs
+++ b/src/gateway/call/turn.rs
@@ -187,7 +187,7 @@
             Err(ClaimError::Exhausted { .. }) => "exhausted",
             Err(ClaimError::NoSuchTurn) => "no_such_turn",
             Err(ClaimError::NotAdmitted) => "not_admitted",
-            Err(ClaimError::Store(_) | ClaimError::Doubtful(_)) => "store_failed",
+            Err(ClaimError::Store(_) | ClaimError::Indeterminate(_)) => "store_failed",
         });
         claimed
     }
@@ -241,7 +241,7 @@
             }
             ClaimError::NotAdmitted => Refusal::not_run("engines_overloaded", NOT_ADMITTED_RETRY),
             ClaimError::NoSuchTurn => Refusal::rejected(StatusCode::NOT_FOUND, "no_such_turn"),
-            ClaimError::Store(error) | ClaimError::Doubtful(error) => self.store_refusal(&error),
+            ClaimError::Store(error) | ClaimError::Indeterminate(error) => self.store_refusal(&error),
         }
     }
 
--- a/src/gateway/turns/allowances.rs
+++ b/src/gateway/turns/allowances.rs
@@ -151,13 +151,13 @@
         &self,
         ledger: &mut ProgramLedger,
         claim: &TurnClaim,
-        is_ahead: bool,
+        preallocates: bool,
     ) -> ReserveReply {
         let mut allowances = self.allowances.borrow_mut();
-        let held = allowances.get_or_make(&claim.program, !is_ahead);
-        let is_ahead = is_ahead && !held.is_proxy;
+        let held = allowances.get_or_make(&claim.program, !preallocates);
+        let preallocates = preallocates && !held.is_proxy;
         let demand = held.allowance.demand(&claim.turn, claim.most);
-        let ahead = if is_ahead { claim.most.saturating_mul(PREALLOCATED_TURNS) } else { 0 };
+        let ahead = if preallocates { claim.most.saturating_mul(PREALLOCATED_TURNS) } else { 0 };
         let reply = ledger.extend(held.allowance.name(), demand, ahead, claim.budget);
         if reply == ReserveReply::Reserved {
             held.allowance.start(&claim.turn, claim.most);
@@ -167,7 +167,7 @@
     }
 
     /// Takes a turn out of an allowance whose extension was not written.
-    pub(super) fn take_back(&self, claim: &TurnClaim) {
+    pub(super) fn undo_allowance_start(&self, claim: &TurnClaim) {
         if claim.scope == TurnScope::Tokens
             && let Some(held) = self.allowances.borrow_mut().held.get_mut(&claim.program)
         {
--- a/src/gateway/turns/claim.rs
+++ b/src/gateway/turns/claim.rs
@@ -71,13 +71,13 @@
     Store(StoreError),
     /// The same, but the reservation may stand. It is being taken back, so the turn must not be claimed
     /// again: it would run under a reservation that vanishes, its tokens counted nowhere.
-    Doubtful(StoreError),
+    Indeterminate(StoreError),
 }
 
 impl TurnReservation {
     /// What a store that did not do its part means for the claim.
     fn failure(&self, error: StoreError) -> ClaimError {
-        if self.settled { ClaimError::Store(error) } else { ClaimError::Doubtful(error) }
+        if self.settled { ClaimError::Store(error) } else { ClaimError::Indeterminate(error) }
     }
 }
 
--- a/src/gateway/turns/coordinate.rs
+++ b/src/gateway/turns/coordinate.rs
@@ -96,7 +96,7 @@
         let manager = self.clone();
         let asked =
             actix_rt::spawn(async move { manager.claim_via_peer(&peer, &claim, deadline).await });
-        asked.await.unwrap_or(Err(ClaimError::Doubtful(StoreError::ReplyLost)))
+        asked.await.unwrap_or(Err(ClaimError::Indeterminate(StoreError::ReplyLost)))
     }
 
     async fn claim_via_peer(
@@ -160,7 +160,7 @@
         Some(match chain {
             Ok(chain) => Ok(ClaimedTurn { chain, holder, reservation }),
             Err(ChainError::NoSuchTurn) => Err(ClaimError::NoSuchTurn),
-            Err(ChainError::Store(error)) => Err(ClaimError::Doubtful(error)),
+            Err(ChainError::Store(error)) => Err(ClaimError::Indeterminate(error)),
         })
     }
 
--- a/src/gateway/turns/reserve.rs
+++ b/src/gateway/turns/reserve.rs
@@ -13,10 +13,10 @@
 use crate::node::platform::StoreError;
 
 /// What became of a reservation.
-struct ReservationEnd {
+struct ReservationOutcome {
     result: Result<(), ReserveError>,
     /// Whether a write may take effect that was not seen to: the tokens must be taken back.
-    doubtful: bool,
+    is_indeterminate: bool,
 }
 
 /// A reservation that waits for its program's ledger.
@@ -24,17 +24,18 @@
     claim: TurnClaim,
     deadline: Instant,
     /// Whether all that the store has of the program was read since its ledger last changed.
-    fresh: bool,
-    doubtful: bool,
+    is_loaded: bool,
+    is_indeterminate: bool,
     /// Whether tokens of further turns are set aside too.
-    is_ahead: bool,
-    reply: oneshot::Sender<ReservationEnd>,
+    preallocates: bool,
+    reply: oneshot::Sender<ReservationOutcome>,
 }
 
 impl PendingReservation {
-    fn end(self, result: Result<(), ReserveError>) {
+    fn finish(self, result: Result<(), ReserveError>) {
         // Whoever no longer waits takes back what may stand.
-        let _ = self.reply.send(ReservationEnd { result, doubtful: self.doubtful });
+        let _ =
+            self.reply.send(ReservationOutcome { result, is_indeterminate: self.is_indeterminate });
     }
 }
 
@@ -55,28 +56,28 @@
         source: ClaimSource,
         held: &mut TurnReservation,
     ) -> Result<(), ReserveError> {
-        let (reply, ended) = oneshot::channel();
-        let doubtful = !held.settled;
+        let (reply, outcome_receiver) = oneshot::channel();
+        let is_indeterminate = !held.settled;
         let pending = PendingReservation {
             claim: claim.clone(),
             deadline,
-            fresh: false,
-            doubtful,
-            is_ahead: matches!(source, ClaimSource::Coordinator | ClaimSource::Peer),
+            is_loaded: false,
+            is_indeterminate,
+            preallocates: matches!(source, ClaimSource::Coordinator | ClaimSource::Peer),
             reply,
         };
         // A caller that leaves while this is under way drops what is held.
         held.settled = false;
         self.enqueue(pending);
-        let unknown = ReservationEnd {
+        let unknown = ReservationOutcome {
             result: Err(ReserveError::Store(StoreError::ReplyLost)),
-            doubtful: true,
+            is_indeterminate: true,
         };
-        let end = ended.await.unwrap_or(unknown);
-        if end.result.is_err() {
-            held.settled = !end.doubtful || source == ClaimSource::Peer;
+        let outcome = outcome_receiver.await.unwrap_or(unknown);
+        if outcome.result.is_err() {
+            held.settled = !outcome.is_indeterminate || source == ClaimSource::Peer;
         }
-        end.result
+        outcome.result
     }
 
     fn enqueue(self: &Rc<Self>, pending: PendingReservation) {
@@ -120,84 +121,88 @@
         group: Vec<PendingReservation>,
     ) -> Vec<PendingReservation> {
         let (version, mut ledger) = self.ledger(program);
-        let (granted, short) = self.fill(&mut ledger, group);
-        let mut left = self.look_again(program, short).await;
+        let (granted, insufficient) = self.reserve_in_ledger(&mut ledger, group);
+        let mut left = self.reload_program(program, insufficient).await;
         if granted.is_empty() {
             return left;
         }
         let reply = self.write_ledger(program, version, ledger, RESERVE_COMMIT_DELAY).await;
         if !matches!(reply, Ok(LedgerReply::Written)) {
-            granted.iter().for_each(|pending| self.take_back(&pending.claim));
+            granted.iter().for_each(|pending| self.undo_allowance_start(&pending.claim));
         }
         match reply {
-            Ok(LedgerReply::Written) => granted.into_iter().for_each(|pending| pending.end(Ok(()))),
+            Ok(LedgerReply::Written) => {
+                granted.into_iter().for_each(|pending| pending.finish(Ok(())))
+            }
             Ok(LedgerReply::Gone) => {
                 for mut pending in granted {
-                    pending.doubtful = false;
-                    pending.end(Err(ReserveError::Expired));
+                    pending.is_indeterminate = false;
+                    pending.finish(Err(ReserveError::Expired));
                 }
             }
-            Ok(LedgerReply::Changed) => left.extend(self.after_conflict(program, granted)),
+            Ok(LedgerReply::Changed) => left.extend(self.resolve_conflict(program, granted)),
             Err(StoreError::Unavailable) => {
                 for pending in granted {
-                    pending.end(Err(ReserveError::Store(StoreError::Unavailable)));
+                    pending.finish(Err(ReserveError::Store(StoreError::Unavailable)));
                 }
             }
-            Err(error) => left.extend(after_loss(granted, &error).await),
+            Err(error) => left.extend(retry_after_lost_reply(granted, &error).await),
         }
         left
     }
 
     /// Sets aside in a ledger what it has room for; those it has and those it has not.
-    fn fill(
+    fn reserve_in_ledger(
         &self,
         ledger: &mut ProgramLedger,
         group: Vec<PendingReservation>,
     ) -> (Vec<PendingReservation>, Vec<PendingReservation>) {
-        let (mut granted, mut short) = (Vec::new(), Vec::new());
+        let (mut granted, mut insufficient) = (Vec::new(), Vec::new());
         for pending in group {
             let claim = &pending.claim;
             let reply = match claim.scope {
                 TurnScope::History => ledger.reserve(&claim.turn, claim.most, claim.budget),
-                TurnScope::Tokens => self.extend_allowance(ledger, claim, pending.is_ahead),
+                TurnScope::Tokens => self.extend_allowance(ledger, claim, pending.preallocates),
             };
             match reply {
                 ReserveReply::Reserved => {
                     ledger.retain_until(self.retained_until(claim.ledger_retention()));
                     granted.push(pending);
                 }
-                ReserveReply::Exhausted { committed, permanent } if pending.fresh || permanent => {
-                    pending.end(Err(ReserveError::Exhausted { committed }));
+                ReserveReply::Exhausted { committed, permanent }
+                    if pending.is_loaded || permanent =>
+                {
+                    pending.finish(Err(ReserveError::Exhausted { committed }));
                 }
-                ReserveReply::Exhausted { .. } => short.push(pending),
+                ReserveReply::Exhausted { .. } => insufficient.push(pending),
             }
         }
-        (granted, short)
+        (granted, insufficient)
     }
 
     /// Reads the program anew for those whom its known state has no room for: turns of other
     /// instances may have ended since.
-    async fn look_again(
+    async fn reload_program(
         &self,
         program: &ProgramName,
-        mut short: Vec<PendingReservation>,
+        mut insufficient: Vec<PendingReservation>,
     ) -> Vec<PendingReservation> {
-        if short.is_empty() {
-            return short;
+        if insufficient.is_empty() {
+            return insufficient;
         }
         if let Err(error) = self.load(program).await {
-            for pending in short {
-                pending.end(Err(ReserveError::Store(error.clone())));
+            for pending in insufficient {
+                pending.finish(Err(ReserveError::Store(error.clone())));
             }
             return Vec::new();
         }
-        short.iter_mut().for_each(|pending| pending.fresh = true);
-        short
+        insufficient.iter_mut().for_each(|pending| pending.is_loaded = true);
+        insufficient
     }
 
     /// Another write came first. An earlier try of ours may have been it; else nothing stands, and no
     /// write still on its way can meet its condition.
-    fn after_conflict(
+    fn resolve_conflict(
         &self,
         program: &ProgramName,
         group: Vec<PendingReservation>,
@@ -206,13 +211,13 @@
         let mut left = Vec::new();
         for mut pending in group {
             if ledger.is_reserved(&pending.claim.turn) {
-                pending.end(Ok(()));
+                pending.finish(Ok(()));
                 continue;
             }
-            pending.doubtful = false;
+            pending.is_indeterminate = false;
             // The ledger is new, the records that settle its open turns may not be known: taken for
             // all, a program is told that its budget is spent when it is not.
-            pending.fresh = false;
+            pending.is_loaded = false;
             left.push(pending);
         }
         left
@@ -220,16 +225,16 @@
 }
 
 /// A write's reply is missing: those that have time left try again.
-async fn after_loss(
+async fn retry_after_lost_reply(
     mut group: Vec<PendingReservation>,
     error: &StoreError,
 ) -> Vec<PendingReservation> {
-    group.iter_mut().for_each(|pending| pending.doubtful = true);
+    group.iter_mut().for_each(|pending| pending.is_indeterminate = true);
     let again = Instant::now() + RETRY_DELAY;
     let (left, late): (Vec<_>, Vec<_>) =
         group.into_iter().partition(|pending| again < pending.deadline);
     for pending in late {
-        pending.end(Err(ReserveError::Store(error.clone())));
+        pending.finish(Err(ReserveError::Store(error.clone())));
     }
     if !left.is_empty() {
         sleep(RETRY_DELAY).await;
--- a/src/gateway/turns/serve.rs
+++ b/src/gateway/turns/serve.rs
@@ -30,7 +30,7 @@
             Err(ClaimError::NoSuchTurn) => ClaimReply::NoSuchTurn,
             Err(ClaimError::NotAdmitted) => ClaimReply::NotAdmitted,
             Err(ClaimError::Exhausted { committed }) => ClaimReply::Exhausted { committed },
-            Err(ClaimError::Store(_) | ClaimError::Doubtful(_)) => return None,
+            Err(ClaimError::Store(_) | ClaimError::Indeterminate(_)) => return None,
         };
         Some(frame(&reply, &[]))
     }
