--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -217,7 +217,7 @@
             if !events.is_whole() {
                 return CallEnd::cut("stream_torn", Some(upstream));
             }
-            turn.note_holder(call.head.line.as_ref(), &choice);
+            turn.record_holder(call.head.line.as_ref(), &choice);
             if turn.is_kept() && !turn.keep(&choice, events, call.deadline).await {
                 return CallEnd::cut("turn_not_kept", Some(upstream));
             }
--- a/src/gateway/call/turn.rs
+++ b/src/gateway/call/turn.rs
@@ -241,7 +241,9 @@
             }
             ClaimError::NotAdmitted => Refusal::not_run("engines_overloaded", NOT_ADMITTED_RETRY),
             ClaimError::NoSuchTurn => Refusal::rejected(StatusCode::NOT_FOUND, "no_such_turn"),
-            ClaimError::Store(error) | ClaimError::Indeterminate(error) => self.store_refusal(&error),
+            ClaimError::Store(error) | ClaimError::Indeterminate(error) => {
+                self.store_refusal(&error)
+            }
         }
     }
 
@@ -272,8 +274,8 @@
 
 impl TurnWork {
     /// Notes which engine holds what the next turn of the line begins with.
-    pub(super) fn note_holder(&mut self, line: Option<&BranchName>, choice: &UpstreamChoice) {
-        self.reservation.note_holder(PrefixHolder {
+    pub(super) fn record_holder(&mut self, line: Option<&BranchName>, choice: &UpstreamChoice) {
+        self.reservation.record_holder(PrefixHolder {
             line: line.cloned(),
             upstream: choice.id.clone(),
             born: choice.started_at,
--- a/src/gateway/stop.rs
+++ b/src/gateway/stop.rs
@@ -83,7 +83,7 @@
         sleep_until(named_until.min(end)).await;
         self.stop.enter(StopPhase::Refusing);
         let finished = timeout_at(end, self.calls_finished()).await.is_ok();
-        let _ = timeout_at(end, self.turns.give_back_allowances()).await;
+        let _ = timeout_at(end, self.turns.release_allowances()).await;
         sleep(LINGER).await;
         log::info!(
             "event=stop_ended finished={finished} open_calls={} ms={}",
--- a/src/gateway/turns/allowances.rs
+++ b/src/gateway/turns/allowances.rs
@@ -17,11 +17,11 @@
 };
 
 /// Unused for so long, an allowance may be given back: its program has ended or pauses.
-const IDLE: Duration = Duration::from_secs(30);
+const ALLOWANCE_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Allowances that were used so lately are given back when another instance coordinates their programs.
-const IN_USE: Duration = Duration::from_secs(5);
+const RECENT_USE_INTERVAL: Duration = Duration::from_secs(5);
 /// Allowances below which idle ones are not looked for.
-const PRUNE_LEAST: usize = 1_024;
+const MIN_PRUNE_COUNT: usize = 1_024;
 
 /// An allowance that this instance holds.
 struct HeldAllowance {
@@ -37,21 +37,26 @@
 pub(super) struct ProgramAllowances {
     held: HashMap<ProgramName, HeldAllowance>,
     /// Tells this life of the instance from all others.
-    life: u64,
-    made: u64,
+    incarnation: u64,
+    allocated: u64,
     /// How many there may be before idle ones are given back.
     prune_at: usize,
 }
 
 impl Default for ProgramAllowances {
     fn default() -> Self {
-        Self { held: HashMap::new(), life: rand::random(), made: 0, prune_at: PRUNE_LEAST }
+        Self {
+            held: HashMap::new(),
+            incarnation: rand::random(),
+            allocated: 0,
+            prune_at: MIN_PRUNE_COUNT,
+        }
     }
 }
 
 impl ProgramAllowances {
-    fn get_or_make(&mut self, program: &ProgramName, is_proxy: bool) -> &mut HeldAllowance {
-        let (life, made) = (self.life, &mut self.made);
+    fn get_or_create(&mut self, program: &ProgramName, is_proxy: bool) -> &mut HeldAllowance {
+        let (life, made) = (self.incarnation, &mut self.allocated);
         self.held.entry(program.clone()).or_insert_with(|| {
             *made += 1;
             let name = format!("{life:016x}-{made}").into();
@@ -62,16 +67,16 @@
     }
 
     /// Drops what is held for a program whose ledger is gone.
-    pub(super) fn forget(&mut self, program: &str) {
+    pub(super) fn remove(&mut self, program: &str) {
         self.held.remove(program);
     }
 
     /// Takes out allowances without a running turn.
     fn take_idle(
         &mut self,
-        wanted: impl Fn(&HeldAllowance) -> bool,
+        filter: impl Fn(&HeldAllowance) -> bool,
     ) -> Vec<(ProgramName, TokenAllowance)> {
-        let taken = self.held.extract_if(|_, held| held.allowance.is_idle() && wanted(held));
+        let taken = self.held.extract_if(|_, held| held.allowance.is_idle() && filter(held));
         taken.map(|(program, held)| (program, held.allowance)).collect()
     }
 }
@@ -96,19 +101,19 @@
         deadline: Instant,
         source: ClaimSource,
     ) -> Result<ClaimedTurn, ClaimError> {
-        let coordinates = matches!(source, ClaimSource::Coordinator | ClaimSource::Peer);
-        if claim.only_known && coordinates && !self.cache.borrow().has_ledger(&claim.program) {
+        let is_coordinator = matches!(source, ClaimSource::Coordinator | ClaimSource::Peer);
+        if claim.only_known && is_coordinator && !self.cache.borrow().has_ledger(&claim.program) {
             return Err(ClaimError::NotAdmitted);
         }
         self.prune_allowances();
         let mut held = self.reservation(&claim.program, &claim.turn);
         held.scope = TurnScope::Tokens;
-        if self.draw(claim) {
-            return Ok(self.claimed(claim, held));
+        if self.draw_from_allowance(claim) {
+            return Ok(self.claimed_turn(claim, held));
         }
         for _ in 0..CLAIM_TRIES {
             match self.reserve(claim, deadline, source, &mut held).await {
-                Ok(()) => return Ok(self.claimed(claim, held)),
+                Ok(()) => return Ok(self.claimed_turn(claim, held)),
                 Err(ReserveError::Expired) => {}
                 Err(ReserveError::Exhausted { committed }) => {
                     return Err(ClaimError::Exhausted { committed });
@@ -120,7 +125,7 @@
         Err(ClaimError::NoSuchTurn)
     }
 
-    fn claimed(&self, claim: &TurnClaim, reservation: TurnReservation) -> ClaimedTurn {
+    fn claimed_turn(&self, claim: &TurnClaim, reservation: TurnReservation) -> ClaimedTurn {
         let allowances = self.allowances.borrow();
         let held = allowances.held.get(&claim.program);
         let holder = held.and_then(|held| held.lines.holder(claim.line.as_ref()).cloned());
@@ -128,7 +133,7 @@
     }
 
     /// Takes a turn's tokens out of what the ledger holds already; false if that takes a write.
-    fn draw(&self, claim: &TurnClaim) -> bool {
+    fn draw_from_allowance(&self, claim: &TurnClaim) -> bool {
         if self.pending.borrow().contains_key(&claim.program) {
             return false;
         }
@@ -154,7 +159,7 @@
         preallocates: bool,
     ) -> ReserveReply {
         let mut allowances = self.allowances.borrow_mut();
-        let held = allowances.get_or_make(&claim.program, !preallocates);
+        let held = allowances.get_or_create(&claim.program, !preallocates);
         let preallocates = preallocates && !held.is_proxy;
         let demand = held.allowance.demand(&claim.turn, claim.most);
         let ahead = if preallocates { claim.most.saturating_mul(PREALLOCATED_TURNS) } else { 0 };
@@ -187,9 +192,9 @@
         // The coordinator needs what is left here.
         if held.is_proxy && held.allowance.is_idle() {
             let allowance = held.allowance.clone();
-            allowances.forget(program);
-            let returned = self.clone().give_back(program.clone(), allowance);
-            actix_rt::spawn(returned);
+            allowances.remove(program);
+            let released = self.clone().release_allowance(program.clone(), allowance);
+            actix_rt::spawn(released);
         }
     }
 
@@ -199,43 +204,48 @@
         if allowances.held.len() < allowances.prune_at {
             return;
         }
-        let idle = allowances.take_idle(|held| held.used_at.elapsed() > IDLE);
-        allowances.prune_at = PRUNE_LEAST.max(allowances.held.len() * 2);
+        let idle = allowances.take_idle(|held| held.used_at.elapsed() > ALLOWANCE_IDLE_TIMEOUT);
+        allowances.prune_at = MIN_PRUNE_COUNT.max(allowances.held.len() * 2);
         log::info!("event=allowances_pruned idle={} left={}", idle.len(), allowances.held.len());
         for (program, allowance) in idle {
-            actix_rt::spawn(self.clone().give_back(program, allowance));
+            actix_rt::spawn(self.clone().release_allowance(program, allowance));
         }
     }
 
     /// Leaves to others the programs in use that they coordinate now: what is held of them is given
     /// back, at once or when their turns here have ended.
-    pub(crate) fn hand_over(
+    pub(crate) fn release_reassigned_allowances(
         self: &Rc<Self>,
         not_coordinated: impl Fn(Vec<&ProgramName>) -> Vec<ProgramName>,
     ) {
         let mut allowances = self.allowances.borrow_mut();
-        let in_use = allowances.held.iter().filter(|(_, held)| held.used_at.elapsed() < IN_USE);
-        let lost = not_coordinated(in_use.map(|(program, _)| program).collect());
-        for program in lost {
+        let in_use =
+            allowances.held.iter().filter(|(_, held)| held.used_at.elapsed() < RECENT_USE_INTERVAL);
+        let reassigned = not_coordinated(in_use.map(|(program, _)| program).collect());
+        for program in reassigned {
             let Some(held) = allowances.held.get_mut(&program) else { continue };
             held.is_proxy = true;
             if held.allowance.is_idle() {
                 let allowance = held.allowance.clone();
-                allowances.forget(&program);
-                actix_rt::spawn(self.clone().give_back(program, allowance));
+                allowances.remove(&program);
+                actix_rt::spawn(self.clone().release_allowance(program, allowance));
             }
         }
     }
 
     /// Gives back what programs that go on elsewhere need, before this instance ends.
-    pub(crate) async fn give_back_allowances(self: &Rc<Self>) {
-        let idle = self.allowances.borrow_mut().take_idle(|held| held.used_at.elapsed() < IN_USE);
-        let returned =
-            idle.into_iter().map(|(program, allowance)| self.clone().give_back(program, allowance));
-        join_all(returned).await;
+    pub(crate) async fn release_allowances(self: &Rc<Self>) {
+        let idle = self
+            .allowances
+            .borrow_mut()
+            .take_idle(|held| held.used_at.elapsed() < RECENT_USE_INTERVAL);
+        let released = idle
+            .into_iter()
+            .map(|(program, allowance)| self.clone().release_allowance(program, allowance));
+        join_all(released).await;
     }
 
-    async fn give_back(self: Rc<Self>, program: ProgramName, allowance: TokenAllowance) {
+    async fn release_allowance(self: Rc<Self>, program: ProgramName, allowance: TokenAllowance) {
         let deadline = Instant::now() + BACKGROUND_SETTLE_TIMEOUT;
         self.settle(&program, allowance.name(), allowance.committed(), deadline).await;
     }
--- a/src/gateway/turns/mod.rs
+++ b/src/gateway/turns/mod.rs
@@ -62,12 +62,12 @@
 }
 
 /// What became of a conditional write of a ledger.
-enum LedgerReply {
+enum LedgerOutcome {
     Written,
     /// Another write came first; its ledger is known now.
-    Changed,
+    Conflict,
     /// The program has expired and was removed.
-    Gone,
+    Removed,
 }
 
 /// What programs have said, and what they have spent.
@@ -112,12 +112,12 @@
     }
 
     /// Notes where the turn ran whole, for those that follow it.
-    pub(crate) fn note_holder(&mut self, holder: PrefixHolder) {
+    pub(crate) fn record_holder(&mut self, holder: PrefixHolder) {
         self.ran_at = Some(holder);
     }
 
     /// Leaves the reservation to the peer it was made for.
-    fn hand_over(mut self) {
+    fn transfer(mut self) {
         self.settled = true;
     }
 
@@ -217,16 +217,16 @@
         version: RowVersion,
         ledger: ProgramLedger,
         max_delay: Duration,
-    ) -> Result<LedgerReply, StoreError> {
+    ) -> Result<LedgerOutcome, StoreError> {
         let transaction = ledger_write(program, version, &ledger);
         match self.committer.commit(transaction, max_delay).await? {
             CommitReply::Committed(version) => {
                 self.cache.borrow_mut().set_ledger(program, version, ledger);
-                Ok(LedgerReply::Written)
+                Ok(LedgerOutcome::Written)
             }
             CommitReply::Conflict(rows) => match self.take_conflict(program, version, rows) {
-                true => Ok(LedgerReply::Gone),
-                false => Ok(LedgerReply::Changed),
+                true => Ok(LedgerOutcome::Removed),
+                false => Ok(LedgerOutcome::Conflict),
             },
         }
     }
@@ -247,9 +247,9 @@
             let (version, mut ledger) = self.ledger(program);
             ledger.retain_until(self.retained_until(retention));
             match self.write_ledger(program, version, ledger, RESERVE_COMMIT_DELAY).await {
-                Ok(LedgerReply::Written) => return Ok(()),
-                Ok(LedgerReply::Gone) => return Err(ReserveError::Expired),
-                Ok(LedgerReply::Changed) => {}
+                Ok(LedgerOutcome::Written) => return Ok(()),
+                Ok(LedgerOutcome::Removed) => return Err(ReserveError::Expired),
+                Ok(LedgerOutcome::Conflict) => {}
                 Err(StoreError::ReplyLost) if Instant::now() + RETRY_DELAY < deadline => {
                     sleep(RETRY_DELAY).await;
                 }
@@ -313,7 +313,7 @@
             let (version, mut ledger) = self.ledger(program);
             ledger.settle(turn, used);
             match self.write_ledger(program, version, ledger, SETTLE_COMMIT_DELAY).await {
-                Ok(LedgerReply::Written) => return,
+                Ok(LedgerOutcome::Written) => return,
                 // An earlier try took effect, and only its reply was lost.
                 Ok(_) if !self.ledger(program).1.is_reserved(turn) => return,
                 Ok(_) => {}
--- a/src/gateway/turns/reserve.rs
+++ b/src/gateway/turns/reserve.rs
@@ -7,7 +7,7 @@
 
 use super::claim::{ClaimSource, TurnClaim};
 use super::{
-    LedgerReply, RESERVE_COMMIT_DELAY, RETRY_DELAY, ReserveError, TurnManager, TurnReservation,
+    LedgerOutcome, RESERVE_COMMIT_DELAY, RETRY_DELAY, ReserveError, TurnManager, TurnReservation,
 };
 use crate::core::turns::{ProgramLedger, ProgramName, ReserveReply, TurnScope};
 use crate::node::platform::StoreError;
@@ -127,20 +127,20 @@
             return left;
         }
         let reply = self.write_ledger(program, version, ledger, RESERVE_COMMIT_DELAY).await;
-        if !matches!(reply, Ok(LedgerReply::Written)) {
+        if !matches!(reply, Ok(LedgerOutcome::Written)) {
             granted.iter().for_each(|pending| self.undo_allowance_start(&pending.claim));
         }
         match reply {
-            Ok(LedgerReply::Written) => {
+            Ok(LedgerOutcome::Written) => {
                 granted.into_iter().for_each(|pending| pending.finish(Ok(())))
             }
-            Ok(LedgerReply::Gone) => {
+            Ok(LedgerOutcome::Removed) => {
                 for mut pending in granted {
                     pending.is_indeterminate = false;
                     pending.finish(Err(ReserveError::Expired));
                 }
             }
-            Ok(LedgerReply::Changed) => left.extend(self.resolve_conflict(program, granted)),
+            Ok(LedgerOutcome::Conflict) => left.extend(self.resolve_conflict(program, granted)),
             Err(StoreError::Unavailable) => {
                 for pending in granted {
                     pending.finish(Err(ReserveError::Store(StoreError::Unavailable)));
--- a/src/gateway/turns/rows.rs
+++ b/src/gateway/turns/rows.rs
@@ -99,7 +99,7 @@
         let gone = expected > 0 && !rows.iter().any(|row| &*row.key.key == LEDGER_KEY);
         if gone {
             self.cache.borrow_mut().remove(program);
-            self.allowances.borrow_mut().forget(program);
+            self.allowances.borrow_mut().remove(program);
         }
         let ledgers = rows.into_iter().filter(|row| &*row.key.key == LEDGER_KEY);
         self.take_rows(program, ledgers.collect());
--- a/src/gateway/turns/serve.rs
+++ b/src/gateway/turns/serve.rs
@@ -23,7 +23,7 @@
         let deadline = Instant::now() + Duration::from_millis(request.limit_ms);
         let reply = match self.claim_here(claim, deadline, ClaimSource::Peer).await {
             Ok(claimed) => {
-                claimed.reservation.hand_over();
+                claimed.reservation.transfer();
                 let known = if request.knows_chain { &[][..] } else { &claimed.chain.turns[..] };
                 return Some(self.granted(claim, known, claimed.holder));
             }
