--- a/src/gateway/sweep.rs
+++ b/src/gateway/sweep.rs
@@ -10,7 +10,7 @@
 use super::news::StoreNews;
 use super::rows::{CommitReply, RowKey, RowRange, RowTransaction, RowVersion, StoredRow};
 use super::store::StoreLink;
-use super::turns::{LEDGER_KEY, TABLE, index_key, parse_turn_key, row_key};
+use super::turns::{LEDGER_KEY, PROGRAMS_TABLE, index_key, parse_turn_key, row_key};
 use crate::core::ids::InstanceId;
 use crate::core::turns::{DEFAULT_RETENTION, ProgramLedger, ProgramName};
 use crate::node::platform::StoreError;
@@ -134,7 +134,8 @@
     async fn programs(&self) -> Result<Vec<ProgramName>, StoreError> {
         let mut programs: Vec<ProgramName> = Vec::new();
         loop {
-            let page = self.store.parts(TABLE, programs.last().map(|last| &**last)).await?;
+            let page =
+                self.store.parts(PROGRAMS_TABLE, programs.last().map(|last| &**last)).await?;
             let Some(last) = page.last().cloned() else { return Ok(programs) };
             if programs.last() == Some(&last) {
                 return Ok(programs);
@@ -146,7 +147,7 @@
     /// Version of a program's ledger and when it expires, in milliseconds of the store's clock.
     async fn expiry(&self, program: &ProgramName) -> Result<Option<(RowVersion, u64)>, StoreError> {
         let range = RowRange {
-            table: TABLE.into(),
+            table: PROGRAMS_TABLE.into(),
             part: program.clone(),
             from: Some(LEDGER_KEY.into()),
             limit: Some(1),
@@ -167,7 +168,7 @@
         let ledger = row_key(program, LEDGER_KEY);
         loop {
             let range = RowRange {
-                table: TABLE.into(),
+                table: PROGRAMS_TABLE.into(),
                 part: program.clone(),
                 from: None,
                 limit: Some(REMOVE_CHUNK),
--- a/src/gateway/turns/chain.rs
+++ b/src/gateway/turns/chain.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use super::TurnManager;
-use super::rows::{TABLE, index_key};
+use super::rows::{PROGRAMS_TABLE, index_key};
 use crate::core::turns::{ChainLookup, ProgramName, TurnId, TurnRecord};
 use crate::gateway::rows::RowRange;
 use crate::node::platform::StoreError;
@@ -47,7 +47,9 @@
         let mut loaded: Vec<ProgramName> = Vec::new();
         loop {
             let missing = match self.lookup(turn) {
-                ChainLookup::Complete(turns) => return Ok(self.whole_chain(program, turn, turns)),
+                ChainLookup::Complete(turns) => {
+                    return Ok(self.complete_chain(program, turn, turns));
+                }
                 ChainLookup::Missing(missing) => missing,
             };
             let next = if loaded.contains(program) {
@@ -63,18 +65,18 @@
         }
     }
 
-    fn whole_chain(
+    fn complete_chain(
         &self,
         program: &ProgramName,
         turn: &TurnId,
         turns: Vec<Rc<TurnRecord>>,
     ) -> TurnChain {
         let mut cache = self.cache.borrow_mut();
-        let maker = cache.program_of(turn);
-        if let Some(maker) = &maker {
-            cache.touch(maker);
+        let author = cache.program_of(turn);
+        if let Some(author) = &author {
+            cache.touch(author);
         }
-        TurnChain { turns, origin: maker.filter(|maker| maker != program) }
+        TurnChain { turns, origin: author.filter(|author| author != program) }
     }
 
     /// Whether all of a chain is here.
@@ -103,8 +105,12 @@
 
     /// Reads everything the store has of a program.
     pub(super) async fn load(&self, program: &ProgramName) -> Result<(), StoreError> {
-        let mut range =
-            RowRange { table: TABLE.into(), part: program.clone(), from: None, limit: None };
+        let mut range = RowRange {
+            table: PROGRAMS_TABLE.into(),
+            part: program.clone(),
+            from: None,
+            limit: None,
+        };
         let mut rows = Vec::new();
         loop {
             let reply = self.store.range(&range).await?;
@@ -113,7 +119,7 @@
             // The smallest key after the last one.
             range.from = Some(format!("{}\0", last.key.key).into());
         }
-        self.take_rows(program, rows);
+        self.cache_rows(program, rows);
         Ok(())
     }
 }
--- a/src/gateway/turns/mod.rs
+++ b/src/gateway/turns/mod.rs
@@ -36,7 +36,7 @@
 pub(crate) use self::chain::{ChainError, TurnChain};
 pub(crate) use self::claim::{ClaimError, ClaimedTurn, TurnClaim};
 pub(crate) use self::coordinate::{CLAIM_PATH, PERSIST_PATH, SETTLE_PATH, TurnCoordinator};
-pub(crate) use self::rows::{LEDGER_KEY, TABLE, index_key, parse_turn_key, row_key};
+pub(crate) use self::rows::{LEDGER_KEY, PROGRAMS_TABLE, index_key, parse_turn_key, row_key};
 
 /// How long a reservation waits for other writes: not at all, as its turn has not begun; it takes along
 /// those that wait.
@@ -224,7 +224,7 @@
                 self.cache.borrow_mut().set_ledger(program, version, ledger);
                 Ok(LedgerOutcome::Written)
             }
-            CommitReply::Conflict(rows) => match self.take_conflict(program, version, rows) {
+            CommitReply::Conflict(rows) => match self.cache_conflict(program, version, rows) {
                 true => Ok(LedgerOutcome::Removed),
                 false => Ok(LedgerOutcome::Conflict),
             },
@@ -283,7 +283,7 @@
         record: TurnRecord,
         deadline: Instant,
     ) -> bool {
-        let puts = self.pieces(program, turn, &record);
+        let puts = self.record_puts(program, turn, &record);
         let first = puts.first().map(|(key, _)| (key.clone(), 0));
         let checks = first.into_iter().collect();
         let transaction = RowTransaction { checks, puts, removals: Vec::new() };
--- a/src/gateway/turns/rows.rs
+++ b/src/gateway/turns/rows.rs
@@ -9,18 +9,18 @@
 use crate::gateway::rows::{RowKey, RowTransaction, RowVersion, StoredRow};
 
 /// Table with the rows of programs; each program is a part of it.
-pub(crate) const TABLE: &str = "programs";
+pub(crate) const PROGRAMS_TABLE: &str = "programs";
 /// Table that names the program of each turn.
 const INDEX_TABLE: &str = "turn-programs";
 /// Key of a program's ledger; it sorts before the turns.
 pub(crate) const LEDGER_KEY: &str = "ledger";
 /// Keys of turns: this, the turn's id, and the number of the piece.
-const TURN_PREFIX: &str = "t/";
+const TURN_KEY_PREFIX: &str = "t/";
 /// Text that a row keeps free for the store's own fields, in bytes.
-const ROW_MARGIN: usize = 256;
+const ROW_OVERHEAD_BYTES: usize = 256;
 
 pub(crate) fn row_key(program: &ProgramName, key: &str) -> RowKey {
-    RowKey { table: TABLE.into(), part: program.clone(), key: key.into() }
+    RowKey { table: PROGRAMS_TABLE.into(), part: program.clone(), key: key.into() }
 }
 
 /// The index row of a turn, in a part of its own: the store writes a part one transaction after
@@ -30,8 +30,8 @@
 }
 
 pub(crate) fn parse_turn_key(key: &str) -> Option<(TurnId, usize)> {
-    let (turn, piece) = key.strip_prefix(TURN_PREFIX)?.rsplit_once('/')?;
-    Some((turn.into(), piece.parse().ok()?))
+    let (turn, chunk) = key.strip_prefix(TURN_KEY_PREFIX)?.rsplit_once('/')?;
+    Some((turn.into(), chunk.parse().ok()?))
 }
 
 /// Writes a ledger if it is still the version that was read.
@@ -49,31 +49,31 @@
     }
 }
 
-fn join(parts: impl Iterator<Item = Bytes>) -> Bytes {
+fn join(chunks: impl Iterator<Item = Bytes>) -> Bytes {
     let mut joined = BytesMut::new();
-    for part in parts {
-        joined.extend_from_slice(&part);
+    for chunk in chunks {
+        joined.extend_from_slice(&chunk);
     }
     joined.freeze()
 }
 
 impl TurnManager {
     /// Takes rows of a program into the cache.
-    pub(super) fn take_rows(&self, program: &ProgramName, rows: Vec<StoredRow>) {
-        let mut pieces: BTreeMap<TurnId, Vec<(usize, Bytes)>> = BTreeMap::new();
+    pub(super) fn cache_rows(&self, program: &ProgramName, rows: Vec<StoredRow>) {
+        let mut chunks_by_turn: BTreeMap<TurnId, Vec<(usize, Bytes)>> = BTreeMap::new();
         for row in rows {
             let Some(value) = row.value else { continue };
             if &*row.key.key == LEDGER_KEY {
-                self.take_ledger(program, row.version, &value);
-            } else if let Some((turn, piece)) = parse_turn_key(&row.key.key) {
-                pieces.entry(turn).or_default().push((piece, value));
+                self.cache_ledger(program, row.version, &value);
+            } else if let Some((turn, chunk)) = parse_turn_key(&row.key.key) {
+                chunks_by_turn.entry(turn).or_default().push((chunk, value));
             }
         }
-        for (turn, mut parts) in pieces {
-            parts.sort_by_key(|(piece, _)| *piece);
-            let value = match parts.len() {
-                1 => parts.remove(0).1,
-                _ => join(parts.into_iter().map(|(_, value)| value)),
+        for (turn, mut chunks) in chunks_by_turn {
+            chunks.sort_by_key(|(chunk, _)| *chunk);
+            let value = match chunks.len() {
+                1 => chunks.remove(0).1,
+                _ => join(chunks.into_iter().map(|(_, value)| value)),
             };
             match TurnRecord::decode(value) {
                 Ok(record) => self.cache.borrow_mut().insert(program, turn, record.into()),
@@ -90,7 +90,7 @@
     ///
     /// An expired program was removed while its turns still lay in this cache. Going on from them
     /// would write a turn whose history is nowhere, so all that is known of it is dropped.
-    pub(super) fn take_conflict(
+    pub(super) fn cache_conflict(
         &self,
         program: &ProgramName,
         expected: RowVersion,
@@ -102,11 +102,11 @@
             self.allowances.borrow_mut().remove(program);
         }
         let ledgers = rows.into_iter().filter(|row| &*row.key.key == LEDGER_KEY);
-        self.take_rows(program, ledgers.collect());
+        self.cache_rows(program, ledgers.collect());
         gone
     }
 
-    fn take_ledger(&self, program: &ProgramName, version: RowVersion, value: &[u8]) {
+    fn cache_ledger(&self, program: &ProgramName, version: RowVersion, value: &[u8]) {
         match serde_json::from_slice(value) {
             Ok(ledger) => self.cache.borrow_mut().set_ledger(program, version, ledger),
             Err(error) => {
@@ -115,19 +115,19 @@
         }
     }
 
-    pub(super) fn pieces(
+    pub(super) fn record_puts(
         &self,
         program: &ProgramName,
         turn: &TurnId,
         record: &TurnRecord,
     ) -> Vec<(RowKey, Bytes)> {
         let value = record.encode();
-        let ranges = split_value(value.len(), self.row_bytes - ROW_MARGIN);
-        let piece = |(number, range)| {
-            let key = format!("{TURN_PREFIX}{turn}/{number}");
+        let ranges = split_value(value.len(), self.row_bytes - ROW_OVERHEAD_BYTES);
+        let chunk = |(number, range)| {
+            let key = format!("{TURN_KEY_PREFIX}{turn}/{number}");
             (row_key(program, &key), value.slice(range))
         };
         let index = (index_key(turn), Bytes::copy_from_slice(program.as_bytes()));
-        ranges.into_iter().enumerate().map(piece).chain([index]).collect()
+        ranges.into_iter().enumerate().map(chunk).chain([index]).collect()
     }
 }
