--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -139,7 +139,7 @@
                 return Err(RelayError::Broken(AnswerError::Foreign));
             }
             if let Some(turn) = turn.as_mut() {
-                turn.reservation.count(events * call.event_tokens);
+                turn.reservation.record_tokens(events * call.event_tokens);
             }
             state.first.get_or_insert_with(|| call.arrived.elapsed());
             writer.chunk(chunk).await.map_err(|_| RelayError::CallerLeft)?;
--- a/src/gateway/turns/coordinate.rs
+++ b/src/gateway/turns/coordinate.rs
@@ -94,9 +94,9 @@
         }
         // It goes on if the caller leaves meanwhile; what it was granted is then given back.
         let manager = self.clone();
-        let asked =
+        let claimed =
             actix_rt::spawn(async move { manager.claim_via_peer(&peer, &claim, deadline).await });
-        asked.await.unwrap_or(Err(ClaimError::Indeterminate(StoreError::ReplyLost)))
+        claimed.await.unwrap_or(Err(ClaimError::Indeterminate(StoreError::ReplyLost)))
     }
 
     async fn claim_via_peer(
@@ -109,8 +109,11 @@
             || claim.previous.as_ref().is_none_or(|turn| self.has_chain(turn));
         let request =
             ClaimRequest { claim: claim.clone(), knows_chain, limit_ms: remaining_ms(deadline) };
-        let source = match self.ask(peer, CLAIM_PATH, frame(&request, &[]), Duration::ZERO).await {
-            Ok((StatusCode::OK, body)) => match self.take_claim(peer, claim, &body).await {
+        let source = match self
+            .call_peer(peer, CLAIM_PATH, frame(&request, &[]), Duration::ZERO)
+            .await
+        {
+            Ok((StatusCode::OK, body)) => match self.accept_claim_reply(peer, claim, &body).await {
                 Some(result) => return result,
                 None => ClaimSource::Takeover,
             },
@@ -122,7 +125,7 @@
     }
 
     /// Reads a coordinator's reply; none if it makes no sense.
-    async fn take_claim(
+    async fn accept_claim_reply(
         self: &Rc<Self>,
         peer: &str,
         claim: &TurnClaim,
@@ -139,14 +142,14 @@
         };
         // Read whole before anything is held: a reply that makes no sense leaves the claim to be made
         // here, under the reservation that the coordinator may have made.
-        let mut records_of = Vec::new();
+        let mut decoded = Vec::new();
         let mut start = 0;
         for turn in chain {
             let record = records.get(start..start + turn.bytes)?;
             start += turn.bytes;
-            records_of.push((turn, TurnRecord::decode(records.slice_ref(record)).ok()?));
+            decoded.push((turn, TurnRecord::decode(records.slice_ref(record)).ok()?));
         }
-        for (turn, record) in records_of {
+        for (turn, record) in decoded {
             self.cache.borrow_mut().insert(&turn.program, turn.turn, record.into());
         }
         let mut reservation = self.reservation(&claim.program, &claim.turn);
@@ -165,24 +168,25 @@
     }
 
     /// Asks a coordinator, which may take `extra` longer than its usual answer.
-    async fn ask(
+    async fn call_peer(
         &self,
         peer: &str,
         path: &'static str,
         body: Bytes,
-        extra: Duration,
+        extra_time: Duration,
     ) -> Result<(StatusCode, Bytes), PeerFailure> {
-        let begun = Instant::now();
-        let usual = self.coordinators.borrow().latency;
-        let timeout = extra + usual.scaled(PEER_TIMEOUT_FACTOR, MIN_PEER_TIMEOUT, MAX_PEER_TIMEOUT);
-        let answer = self.pool.exchange(peer, Method::POST, path, body, timeout).await;
+        let start = Instant::now();
+        let latency = self.coordinators.borrow().latency;
+        let timeout =
+            extra_time + latency.scaled(PEER_TIMEOUT_FACTOR, MIN_PEER_TIMEOUT, MAX_PEER_TIMEOUT);
+        let response = self.pool.exchange(peer, Method::POST, path, body, timeout).await;
         let mut coordinators = self.coordinators.borrow_mut();
-        match answer {
-            Ok(answer) => {
-                if extra.is_zero() {
-                    coordinators.latency.answered(begun);
+        match response {
+            Ok(response) => {
+                if extra_time.is_zero() {
+                    coordinators.latency.answered(start);
                 }
-                Ok(answer)
+                Ok(response)
             }
             Err(error) => {
                 coordinators.failed.note(peer);
@@ -215,13 +219,14 @@
             limit_ms: remaining_ms(deadline),
         };
         let body = frame(&request, &[&record.encode()]);
-        let answer = self.ask(peer, PERSIST_PATH, body, SETTLE_COMMIT_DELAY).await;
-        matches!(answer, Ok((StatusCode::OK, _)))
+        let response = self.call_peer(peer, PERSIST_PATH, body, SETTLE_COMMIT_DELAY).await;
+        matches!(response, Ok((StatusCode::OK, _)))
     }
 
     /// Has a coordinator settle a turn that leaves no record; false if that is to be done here.
     pub(super) async fn settle_via_peer(&self, peer: &str, end: &TurnEnd) -> bool {
-        let answer = self.ask(peer, SETTLE_PATH, frame(end, &[]), SETTLE_COMMIT_DELAY).await;
-        matches!(answer, Ok((StatusCode::OK, _)))
+        let response =
+            self.call_peer(peer, SETTLE_PATH, frame(end, &[]), SETTLE_COMMIT_DELAY).await;
+        matches!(response, Ok((StatusCode::OK, _)))
     }
 }
--- a/src/gateway/turns/mod.rs
+++ b/src/gateway/turns/mod.rs
@@ -102,7 +102,7 @@
 
 impl TurnReservation {
     /// Counts tokens that are about to be passed on.
-    pub(crate) fn count(&mut self, tokens: Tokens) {
+    pub(crate) fn record_tokens(&mut self, tokens: Tokens) {
         self.used += tokens;
     }
 
--- a/src/gateway/turns/serve.rs
+++ b/src/gateway/turns/serve.rs
@@ -18,14 +18,14 @@
     ///
     /// The reservation is the peer's from here on. It is not taken back when the peer has gone: the
     /// peer may have claimed the turn another way and be running it under this reservation.
-    async fn claim_for(self: &Rc<Self>, request: &ClaimRequest) -> Option<Bytes> {
+    async fn claim_for_peer(self: &Rc<Self>, request: &ClaimRequest) -> Option<Bytes> {
         let claim = &request.claim;
         let deadline = Instant::now() + Duration::from_millis(request.limit_ms);
         let reply = match self.claim_here(claim, deadline, ClaimSource::Peer).await {
             Ok(claimed) => {
                 claimed.reservation.transfer();
-                let known = if request.knows_chain { &[][..] } else { &claimed.chain.turns[..] };
-                return Some(self.granted(claim, known, claimed.holder));
+                let records = if request.knows_chain { &[][..] } else { &claimed.chain.turns[..] };
+                return Some(self.granted_reply(claim, records, claimed.holder));
             }
             Err(ClaimError::NoSuchTurn) => ClaimReply::NoSuchTurn,
             Err(ClaimError::NotAdmitted) => ClaimReply::NotAdmitted,
@@ -36,7 +36,7 @@
     }
 
     /// The reply with a chain, whose last turn is the claim's previous one.
-    fn granted(
+    fn granted_reply(
         &self,
         claim: &TurnClaim,
         records: &[Rc<TurnRecord>],
@@ -64,19 +64,19 @@
         body: Bytes,
     ) -> (StatusCode, Bytes) {
         let (manager, path) = (self.clone(), Box::<str>::from(path));
-        let work = actix_rt::spawn(async move { manager.work_for_peer(&path, &body).await });
+        let work = actix_rt::spawn(async move { manager.handle_peer_request(&path, &body).await });
         let failed = (StatusCode::INTERNAL_SERVER_ERROR, Bytes::new());
         work.await.unwrap_or(failed)
     }
 
-    async fn work_for_peer(self: &Rc<Self>, path: &str, body: &Bytes) -> (StatusCode, Bytes) {
+    async fn handle_peer_request(self: &Rc<Self>, path: &str, body: &Bytes) -> (StatusCode, Bytes) {
         let malformed = (StatusCode::BAD_REQUEST, Bytes::new());
-        let unable = (StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
+        let unavailable = (StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
         if path == CLAIM_PATH {
             let Ok((request, _)) = unframe::<ClaimRequest>(body) else { return malformed };
-            return match self.claim_for(&request).await {
+            return match self.claim_for_peer(&request).await {
                 Some(reply) => (StatusCode::OK, reply),
-                None => unable,
+                None => unavailable,
             };
         }
         if path == SETTLE_PATH {
@@ -94,7 +94,7 @@
         let deadline = Instant::now() + Duration::from_millis(request.limit_ms);
         match self.record(&request.program, &request.turn, record, deadline).await {
             true => (StatusCode::OK, Bytes::new()),
-            false => unable,
+            false => unavailable,
         }
     }
 }
