--- a/src/gateway/turns/allowances.rs
+++ b/src/gateway/turns/allowances.rs
@@ -7,7 +7,7 @@
 use futures_util::future::join_all;
 use tokio::time::Instant;
 
-use super::claim::{CLAIM_TRIES, ClaimError, ClaimSource, ClaimedTurn, TurnClaim};
+use super::claim::{ClaimError, ClaimSource, ClaimedTurn, MAX_CLAIM_ATTEMPTS, TurnClaim};
 use super::{
     BACKGROUND_SETTLE_TIMEOUT, ReserveError, TurnChain, TurnEnd, TurnManager, TurnReservation,
 };
@@ -28,7 +28,7 @@
     allowance: TokenAllowance,
     used_at: Instant,
     /// Where the last turn of each line of the program ran.
-    lines: PrefixHolders,
+    holders: PrefixHolders,
     /// Whether it holds no tokens ahead, as another instance coordinates the program.
     is_proxy: bool,
 }
@@ -61,8 +61,8 @@
             *made += 1;
             let name = format!("{life:016x}-{made}").into();
             let allowance = TokenAllowance::new(name);
-            let lines = PrefixHolders::default();
-            HeldAllowance { allowance, used_at: Instant::now(), lines, is_proxy }
+            let holders = PrefixHolders::default();
+            HeldAllowance { allowance, used_at: Instant::now(), holders, is_proxy }
         })
     }
 
@@ -106,14 +106,14 @@
             return Err(ClaimError::NotAdmitted);
         }
         self.prune_allowances();
-        let mut held = self.reservation(&claim.program, &claim.turn);
-        held.scope = TurnScope::Tokens;
+        let mut reservation = self.reservation(&claim.program, &claim.turn);
+        reservation.scope = TurnScope::Tokens;
         if self.draw_from_allowance(claim) {
-            return Ok(self.claimed_turn(claim, held));
+            return Ok(self.claimed_turn(claim, reservation));
         }
-        for _ in 0..CLAIM_TRIES {
-            match self.reserve(claim, deadline, source, &mut held).await {
-                Ok(()) => return Ok(self.claimed_turn(claim, held)),
+        for _ in 0..MAX_CLAIM_ATTEMPTS {
+            match self.reserve(claim, deadline, source, &mut reservation).await {
+                Ok(()) => return Ok(self.claimed_turn(claim, reservation)),
                 Err(ReserveError::Expired) => {}
                 Err(ReserveError::Exhausted { committed }) => {
                     return Err(ClaimError::Exhausted { committed });
@@ -128,7 +128,7 @@
     fn claimed_turn(&self, claim: &TurnClaim, reservation: TurnReservation) -> ClaimedTurn {
         let allowances = self.allowances.borrow();
         let held = allowances.held.get(&claim.program);
-        let holder = held.and_then(|held| held.lines.holder(claim.line.as_ref()).cloned());
+        let holder = held.and_then(|held| held.holders.holder(claim.line.as_ref()).cloned());
         ClaimedTurn { chain: TurnChain::default(), holder, reservation }
     }
 
@@ -187,7 +187,7 @@
         let Some(held) = allowances.held.get_mut(program) else { return };
         held.allowance.end(turn, *used);
         if let Some(line) = ran_at {
-            held.lines.record(line.clone());
+            held.holders.record(line.clone());
         }
         // The coordinator needs what is left here.
         if held.is_proxy && held.allowance.is_idle() {
--- a/src/gateway/turns/claim.rs
+++ b/src/gateway/turns/claim.rs
@@ -12,7 +12,7 @@
 use crate::node::platform::StoreError;
 
 /// Times a turn is claimed before what it continues from counts as gone.
-pub(super) const CLAIM_TRIES: usize = 3;
+pub(super) const MAX_CLAIM_ATTEMPTS: usize = 3;
 
 /// What a turn asks for.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -93,25 +93,26 @@
         if claim.scope == TurnScope::Tokens {
             return self.claim_tokens(claim, deadline, source).await;
         }
-        let mut held = self.reservation(&claim.program, &claim.turn);
+        let mut reservation = self.reservation(&claim.program, &claim.turn);
         // Dropped unsettled, it takes back what a coordinator may have set aside unseen.
-        held.settled = source != ClaimSource::Takeover;
-        for _ in 0..CLAIM_TRIES {
+        reservation.settled = source != ClaimSource::Takeover;
+        for _ in 0..MAX_CLAIM_ATTEMPTS {
             let chain = match &claim.previous {
                 Some(previous) => self.chain(&claim.program, previous).await,
                 None => Ok(TurnChain::default()),
             };
             let chain = chain.map_err(|error| match error {
                 ChainError::NoSuchTurn => ClaimError::NoSuchTurn,
-                ChainError::Store(error) => held.failure(error),
+                ChainError::Store(error) => reservation.failure(error),
             })?;
-            match self.reserve_with_origins(claim, &chain, deadline, source, &mut held).await {
-                Ok(()) => return Ok(ClaimedTurn { chain, holder: None, reservation: held }),
+            match self.reserve_with_origins(claim, &chain, deadline, source, &mut reservation).await
+            {
+                Ok(()) => return Ok(ClaimedTurn { chain, holder: None, reservation }),
                 Err(ReserveError::Expired) => {}
                 Err(ReserveError::Exhausted { committed }) => {
                     return Err(ClaimError::Exhausted { committed });
                 }
-                Err(ReserveError::Store(error)) => return Err(held.failure(error)),
+                Err(ReserveError::Store(error)) => return Err(reservation.failure(error)),
             }
         }
         Err(ClaimError::NoSuchTurn)
@@ -123,11 +124,11 @@
         chain: &TurnChain,
         deadline: Instant,
         source: ClaimSource,
-        held: &mut TurnReservation,
+        reservation: &mut TurnReservation,
     ) -> Result<(), ReserveError> {
         for origin in chain.origins() {
             self.extend_retention(&origin, claim.retention, deadline).await?;
         }
-        self.reserve(claim, deadline, source, held).await
+        self.reserve(claim, deadline, source, reservation).await
     }
 }
--- a/src/gateway/turns/reserve.rs
+++ b/src/gateway/turns/reserve.rs
@@ -54,10 +54,10 @@
         claim: &TurnClaim,
         deadline: Instant,
         source: ClaimSource,
-        held: &mut TurnReservation,
+        reservation: &mut TurnReservation,
     ) -> Result<(), ReserveError> {
         let (reply, outcome_receiver) = oneshot::channel();
-        let is_indeterminate = !held.settled;
+        let is_indeterminate = !reservation.settled;
         let pending = PendingReservation {
             claim: claim.clone(),
             deadline,
@@ -67,7 +67,7 @@
             reply,
         };
         // A caller that leaves while this is under way drops what is held.
-        held.settled = false;
+        reservation.settled = false;
         self.enqueue(pending);
         let unknown = ReservationOutcome {
             result: Err(ReserveError::Store(StoreError::ReplyLost)),
@@ -75,7 +75,7 @@
         };
         let outcome = outcome_receiver.await.unwrap_or(unknown);
         if outcome.result.is_err() {
-            held.settled = !outcome.is_indeterminate || source == ClaimSource::Peer;
+            reservation.settled = !outcome.is_indeterminate || source == ClaimSource::Peer;
         }
         outcome.result
     }
