--- a/src/gateway/committer.rs
+++ b/src/gateway/committer.rs
@@ -16,19 +16,19 @@
 use crate::node::platform::StoreError;
 
 /// Rows in one transaction; the store takes 100.
-const MAX_ROWS: usize = 96;
+const MAX_TRANSACTION_ROWS: usize = 96;
 /// Text in one transaction, in bytes; the store takes 1 MB, in which it grows by a third.
-const MAX_BYTES: usize = 600_000;
+const MAX_TRANSACTION_BYTES: usize = 600_000;
 
 /// Transactions under way at once. More only add to the store's queue, and what waits for one of them
 /// to end travels together.
-const MAX_FLIGHTS: u32 = 4;
+const MAX_IN_FLIGHT: u32 = 4;
 /// Shortest and longest pause before what was refused for the store's rate goes out again, together
 /// with what has come meanwhile; drawn evenly, so that instances do not return together.
-const RATE_PAUSE_MIN: Duration = Duration::from_millis(15);
-const RATE_PAUSE_MAX: Duration = Duration::from_millis(60);
+const MIN_RATE_DELAY: Duration = Duration::from_millis(15);
+const MAX_RATE_DELAY: Duration = Duration::from_millis(60);
 /// Times a transaction is refused for the store's rate before its sender is told: about a second.
-const RATE_TRIES: u32 = 25;
+const MAX_RATE_ATTEMPTS: u32 = 25;
 
 type CommitResult = Result<CommitReply, StoreError>;
 
@@ -37,36 +37,36 @@
     /// When it leaves at the latest.
     due: Instant,
     /// Whether it was not to wait at all.
-    urgent: bool,
+    is_urgent: bool,
     /// Times it was refused for the store's rate.
-    refused: u32,
+    rate_attempts: u32,
     reply: oneshot::Sender<CommitResult>,
 }
 
 /// Collects transactions and commits them together.
 pub(crate) struct StoreCommitter {
     store: Rc<StoreLink>,
-    holds: bool,
+    defers_over_rate: bool,
     queue: RefCell<Vec<QueuedCommit>>,
     queued: Notify,
     batches: Cell<u64>,
     /// Transactions under way.
-    flights: Cell<u32>,
+    in_flight: Cell<u32>,
     /// Nothing leaves before, after a refusal for the store's rate.
-    held_until: Cell<Option<Instant>>,
+    paused_until: Cell<Option<Instant>>,
 }
 
 impl StoreCommitter {
     /// `holds` tells whether what the store refuses for its rate waits for a later batch.
-    pub(crate) fn new(store: Rc<StoreLink>, holds: bool) -> Self {
+    pub(crate) fn new(store: Rc<StoreLink>, defers_over_rate: bool) -> Self {
         Self {
             store,
-            holds,
+            defers_over_rate,
             queue: RefCell::default(),
             queued: Notify::new(),
             batches: Cell::new(0),
-            flights: Cell::new(0),
-            held_until: Cell::new(None),
+            in_flight: Cell::new(0),
+            paused_until: Cell::new(None),
         }
     }
 
@@ -79,23 +79,23 @@
     pub(crate) async fn commit(
         &self,
         transaction: RowTransaction,
-        patience: Duration,
+        max_delay: Duration,
     ) -> CommitResult {
         if !self.store.takes_across() {
             return self.commit_by_part(&transaction).await;
         }
-        let (reply, answered) = oneshot::channel();
-        let due = Instant::now() + patience;
+        let (reply, receiver) = oneshot::channel();
+        let due = Instant::now() + max_delay;
         self.queue.borrow_mut().push(QueuedCommit {
             transaction,
             due,
-            urgent: patience.is_zero(),
-            refused: 0,
+            is_urgent: max_delay.is_zero(),
+            rate_attempts: 0,
             reply,
         });
         self.queued.notify_one();
         // The batch's task never ends without an answer; if it is dropped, so is the process.
-        answered.await.unwrap_or(Err(StoreError::ReplyLost))
+        receiver.await.unwrap_or(Err(StoreError::ReplyLost))
     }
 
     /// Without transactions over several parts, parts without conditions are written first: until
@@ -116,17 +116,17 @@
     pub(crate) async fn run(self: Rc<Self>) {
         loop {
             let due = self.queue.borrow().iter().map(|queued| queued.due).min();
-            let due = due.map(|due| self.held_until.get().map_or(due, |held| due.max(held)));
+            let due = due.map(|due| self.paused_until.get().map_or(due, |paused| due.max(paused)));
             match due {
                 None => self.queued.notified().await,
-                Some(_) if self.flights.get() >= MAX_FLIGHTS => self.queued.notified().await,
+                Some(_) if self.in_flight.get() >= MAX_IN_FLIGHT => self.queued.notified().await,
                 Some(due) if Instant::now() < due => tokio::select! {
                     () = sleep_until(due) => {}
                     () = self.queued.notified() => {}
                 },
                 Some(_) => {
                     let batch = self.take_batch();
-                    self.flights.set(self.flights.get() + 1);
+                    self.in_flight.set(self.in_flight.get() + 1);
                     actix_rt::spawn(self.clone().send(batch));
                 }
             }
@@ -140,25 +140,25 @@
         let (mut rows, mut bytes) = (0, 0);
         // A transaction over several parts takes the store twice as long, and a caller waits for the
         // urgent ones: while the store is slow 50-fold, that is 150 ms a turn.
-        let urgent_only = self.store.is_slow() && queue.iter().any(|queued| queued.urgent);
+        let urgent_only = self.store.is_slow() && queue.iter().any(|queued| queued.is_urgent);
         let mut batch = Vec::new();
-        let mut left = Vec::new();
+        let mut remaining = Vec::new();
         for queued in queue.drain(..) {
             let transaction = &queued.transaction;
-            let fits = rows + transaction.rows() <= MAX_ROWS
-                && bytes + transaction.bytes() <= MAX_BYTES
+            let fits = rows + transaction.rows() <= MAX_TRANSACTION_ROWS
+                && bytes + transaction.bytes() <= MAX_TRANSACTION_BYTES
                 && transaction.keys().all(|key| !keys.contains(key));
-            let left_out = urgent_only && !queued.urgent;
-            if !left_out && (batch.is_empty() || fits) {
+            let is_deferred = urgent_only && !queued.is_urgent;
+            if !is_deferred && (batch.is_empty() || fits) {
                 rows += transaction.rows();
                 bytes += transaction.bytes();
                 keys.extend(transaction.keys().cloned());
                 batch.push(queued);
             } else {
-                left.push(queued);
+                remaining.push(queued);
             }
         }
-        *queue = left;
+        *queue = remaining;
         batch
     }
 
@@ -169,11 +169,11 @@
         }
         self.batches.set(self.batches.get() + 1);
         let result = self.store.commit(&merged).await;
-        self.flights.set(self.flights.get() - 1);
+        self.in_flight.set(self.in_flight.get() - 1);
         self.queued.notify_one();
         match result {
-            Ok(CommitReply::Conflict(rows)) => self.divide(batch, &rows),
-            Err(StoreError::Unavailable) if self.holds && self.store.is_over_rate() => {
+            Ok(CommitReply::Conflict(rows)) => self.resolve_conflict(batch, &rows),
+            Err(StoreError::Unavailable) if self.defers_over_rate && self.store.is_over_rate() => {
                 self.requeue(batch);
             }
             result => {
@@ -187,31 +187,31 @@
 
     /// Keeps what was refused for the store's rate for a later batch.
     fn requeue(&self, batch: Vec<QueuedCommit>) {
-        let pause = rand::random_range(RATE_PAUSE_MIN..RATE_PAUSE_MAX);
+        let delay = rand::random_range(MIN_RATE_DELAY..MAX_RATE_DELAY);
         for mut queued in batch {
-            queued.refused += 1;
-            if queued.refused >= RATE_TRIES {
+            queued.rate_attempts += 1;
+            if queued.rate_attempts >= MAX_RATE_ATTEMPTS {
                 let _ = queued.reply.send(Err(StoreError::Unavailable));
                 continue;
             }
             self.queue.borrow_mut().push(queued);
         }
-        self.held_until.set(Some(Instant::now() + pause));
+        self.paused_until.set(Some(Instant::now() + delay));
         self.queued.notify_one();
     }
 
     /// Tells those whose conditions failed, and sends the others again at once.
-    fn divide(&self, batch: Vec<QueuedCommit>, rows: &[StoredRow]) {
+    fn resolve_conflict(&self, batch: Vec<QueuedCommit>, rows: &[StoredRow]) {
         let version = |key: &RowKey| -> RowVersion {
             rows.iter().find(|row| row.key == *key).map_or(0, |row| row.version)
         };
-        let alone = batch.len() == 1;
+        let is_single = batch.len() == 1;
         for mut queued in batch {
             let checks = &queued.transaction.checks;
             let failed = checks.iter().any(|(key, expected)| version(key) != *expected);
-            if failed || alone {
-                let own = |row: &&StoredRow| checks.iter().any(|(key, _)| *key == row.key);
-                let rows = rows.iter().filter(own).cloned().collect();
+            if failed || is_single {
+                let is_checked = |row: &&StoredRow| checks.iter().any(|(key, _)| *key == row.key);
+                let rows = rows.iter().filter(is_checked).cloned().collect();
                 let _ = queued.reply.send(Ok(CommitReply::Conflict(rows)));
             } else {
                 queued.due = Instant::now();
