--- a/src/gateway/sweep.rs
+++ b/src/gateway/sweep.rs
@@ -16,19 +16,19 @@
 use crate::node::platform::StoreError;
 
 /// Table of duties that one instance at a time performs.
-const DUTIES_TABLE: &str = "duties";
+const LEASES_TABLE: &str = "duties";
 const SWEEP_KEY: &str = "sweep";
 /// Shortest pause between two sweeps, and until routes are known.
-const MIN_PACE: Duration = Duration::from_secs(1);
+const MIN_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// A sweep is due this often in the time that turns are kept: what has expired stays half as long
 /// again at most.
 const SWEEPS_PER_RETENTION: u32 = 2;
 /// Kept beyond the time due: clocks of instances that were paused run behind the store's.
-const MARGIN_SHARE: u32 = 2;
+const EXPIRY_MARGIN_DIVISOR: u32 = 2;
 /// Pause between two programs that are looked at: a sweep takes at most 20 calls a second.
-const PROGRAM_PAUSE: Duration = Duration::from_millis(50);
+const PROGRAM_DELAY: Duration = Duration::from_millis(50);
 /// Rows removed in one transaction; each turn has an index row on top.
-const REMOVE_CHUNK: usize = 40;
+const MAX_REMOVED_ROWS: usize = 40;
 
 /// Who sweeps, until when by the store's clock.
 #[derive(Debug, Serialize, Deserialize)]
@@ -52,17 +52,17 @@
     /// Sweeps whenever it is due and this instance holds the lease.
     pub(crate) async fn run(self) {
         // When known programs expire, so that those are not read again before.
-        let mut known: BTreeMap<ProgramName, u64> = BTreeMap::new();
+        let mut expiries: BTreeMap<ProgramName, u64> = BTreeMap::new();
         loop {
             let Some(table) = self.news.routes() else {
-                sleep(MIN_PACE).await;
+                sleep(MIN_SWEEP_INTERVAL).await;
                 continue;
             };
             let retention = table.retention().unwrap_or(DEFAULT_RETENTION);
-            let pace = (retention / SWEEPS_PER_RETENTION).max(MIN_PACE);
-            sleep(pace).await;
-            let margin = retention / MARGIN_SHARE;
-            match self.sweep(&mut known, pace, margin).await {
+            let interval = (retention / SWEEPS_PER_RETENTION).max(MIN_SWEEP_INTERVAL);
+            sleep(interval).await;
+            let margin = retention / EXPIRY_MARGIN_DIVISOR;
+            match self.sweep(&mut expiries, interval, margin).await {
                 Ok(Some(removed)) if removed > 0 => log::info!("event=swept removed={removed}"),
                 Ok(_) => {}
                 Err(error) => log::info!("event=sweep_failed error=\"{error}\""),
@@ -73,28 +73,28 @@
     /// One sweep; none if another instance holds the lease.
     async fn sweep(
         &self,
-        known: &mut BTreeMap<ProgramName, u64>,
-        pace: Duration,
+        expiries: &mut BTreeMap<ProgramName, u64>,
+        interval: Duration,
         margin: Duration,
     ) -> Result<Option<usize>, StoreError> {
-        if !self.take_lease(pace).await? {
-            known.clear();
+        if !self.acquire_lease(interval).await? {
+            expiries.clear();
             return Ok(None);
         }
         let programs = self.programs().await?;
-        known.retain(|program, _| programs.contains(program));
+        expiries.retain(|program, _| programs.contains(program));
         let mut removed = 0;
         for program in programs {
             let now = self.store.now_millis();
-            let due = known.get(&program).map(|until| until + margin.as_millis() as u64);
+            let due = expiries.get(&program).map(|expiry| expiry + margin.as_millis() as u64);
             if due.is_some_and(|due| now < due) {
                 continue;
             }
-            sleep(PROGRAM_PAUSE).await;
-            let Some((version, until)) = self.expiry(&program).await? else { continue };
-            known.insert(program.clone(), until);
-            if now >= until + margin.as_millis() as u64 && self.remove(&program, version).await? {
-                known.remove(&program);
+            sleep(PROGRAM_DELAY).await;
+            let Some((version, expiry)) = self.expiry(&program).await? else { continue };
+            expiries.insert(program.clone(), expiry);
+            if now >= expiry + margin.as_millis() as u64 && self.remove(&program, version).await? {
+                expiries.remove(&program);
                 removed += 1;
             }
         }
@@ -103,9 +103,9 @@
 
     /// Takes or renews the lease. Two holders at once would do no harm: every removal is
     /// conditional on the ledger that was read.
-    async fn take_lease(&self, pace: Duration) -> Result<bool, StoreError> {
+    async fn acquire_lease(&self, interval: Duration) -> Result<bool, StoreError> {
         let key =
-            RowKey { table: DUTIES_TABLE.into(), part: Box::default(), key: SWEEP_KEY.into() };
+            RowKey { table: LEASES_TABLE.into(), part: Box::default(), key: SWEEP_KEY.into() };
         let range = RowRange {
             table: key.table.clone(),
             part: Box::default(),
@@ -115,12 +115,13 @@
         let row = self.store.range(&range).await?.rows.into_iter().find(|row| row.key == key);
         let version = row.as_ref().map_or(0, |row| row.version);
         let now_ms = self.store.now_millis();
-        let held = row.and_then(|row| row.value);
-        let held: Option<SweepLease> = held.and_then(|value| serde_json::from_slice(&value).ok());
-        if held.is_some_and(|lease| lease.holder != self.instance && now_ms < lease.until_ms) {
+        let current = row.and_then(|row| row.value);
+        let current: Option<SweepLease> =
+            current.and_then(|value| serde_json::from_slice(&value).ok());
+        if current.is_some_and(|lease| lease.holder != self.instance && now_ms < lease.until_ms) {
             return Ok(false);
         }
-        let until_ms = now_ms + 3 * pace.as_millis() as u64;
+        let until_ms = now_ms + 3 * interval.as_millis() as u64;
         let lease = SweepLease { holder: self.instance.clone(), until_ms };
         let value = serde_json::to_vec(&lease).expect("leases serialize").into();
         let transaction = RowTransaction {
@@ -171,7 +172,7 @@
                 table: PROGRAMS_TABLE.into(),
                 part: program.clone(),
                 from: None,
-                limit: Some(REMOVE_CHUNK),
+                limit: Some(MAX_REMOVED_ROWS),
             };
             let rows = self.store.range(&range).await?.rows;
             let mut removals: Vec<RowKey> = Vec::new();
@@ -188,8 +189,8 @@
             let checks = vec![(ledger.clone(), version)];
             let transaction = RowTransaction { checks, puts: Vec::new(), removals };
             let parts = transaction.by_part();
-            let whole = [transaction];
-            let steps = if self.store.takes_across() { &whole[..] } else { &parts[..] };
+            let single = [transaction];
+            let steps = if self.store.takes_across() { &single[..] } else { &parts[..] };
             for step in steps {
                 if !matches!(self.store.commit(step).await?, CommitReply::Committed(_)) {
                     return Ok(false);
--- a/src/gateway/sweep/tests.rs
+++ b/src/gateway/sweep/tests.rs
@@ -3,7 +3,7 @@
 use super::SweepLease;
 
 #[test]
-fn the_lease_keeps_its_form() {
+fn stored_lease_format_is_stable() {
     let text = r#"{"holder":"a","until_ms":1700}"#;
     let lease: SweepLease = serde_json::from_str(text).expect("it is readable");
     assert_eq!(serde_json::to_string(&lease).expect("leases serialize"), text);
