--- a/src/gateway/turns/mod.rs
+++ b/src/gateway/turns/mod.rs
@@ -1,4 +1,5 @@
-//! Keeps turns: reads chains, sets tokens aside before a turn runs, and writes what it became.
+//! Manages the turns of programs for the gateway: reads their chains, reserves tokens before a turn
+//! runs, and settles and stores it afterwards.
 
 mod allowances;
 mod chain;
@@ -38,55 +39,50 @@
 pub(crate) use self::coordinate::{CLAIM_PATH, PERSIST_PATH, SETTLE_PATH, TurnCoordinator};
 pub(crate) use self::rows::{LEDGER_KEY, PROGRAMS_TABLE, index_key, parse_turn_key, row_key};
 
-/// How long a reservation waits for other writes: not at all, as its turn has not begun; it takes along
-/// those that wait.
+/// Zero, since the turn cannot start before its reservation is durable. Queued writes join its batch.
 const RESERVE_COMMIT_DELAY: Duration = Duration::ZERO;
-/// How long a settlement waits for other writes.
+/// Lets settlements share a transaction with other writes.
 const SETTLE_COMMIT_DELAY: Duration = Duration::from_millis(50);
-/// Pause before a write is tried again.
 const RETRY_DELAY: Duration = Duration::from_millis(40);
-/// How long a settlement that nobody waits for is tried.
 const BACKGROUND_SETTLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest key of the store is 200 bytes; the prefix and the piece's number need some.
+/// The store limits keys to 200 bytes, of which the key prefix and the chunk number take a part.
 pub(crate) const MAX_NAME_BYTES: usize = 180;
 
-/// Why a turn may not run.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum ReserveError {
     Exhausted {
         committed: Tokens,
     },
-    /// What is known here of the program is out of date: it has expired and was removed.
+    /// The program was removed from the store after its retention; cached rows are stale.
     Expired,
     Store(StoreError),
 }
 
-/// What became of a conditional write of a ledger.
+/// Result of a conditional write of a ledger.
 enum LedgerOutcome {
     Written,
-    /// Another write came first; its ledger is known now.
+    /// Another write came first; the cache now holds its ledger.
     Conflict,
-    /// The program has expired and was removed.
+    /// The program was removed from the store after its retention.
     Removed,
 }
 
-/// What programs have said, and what they have spent.
+/// Claims, stores and settles turns, with a cache of their records and ledgers.
 pub(crate) struct TurnManager {
     store: Rc<StoreLink>,
     committer: Rc<StoreCommitter>,
     pool: Rc<ConnectionPool>,
     coordinators: RefCell<CoordinatorHealth>,
-    /// Reservations that wait for their program's ledger to be written; present while a task writes.
+    /// Reservations queued per program; an entry exists while a task writes the program's ledger.
     pending: RefCell<HashMap<ProgramName, Vec<PendingReservation>>>,
     cache: RefCell<TurnCache>,
     allowances: RefCell<ProgramAllowances>,
-    /// Largest value of a row, in bytes.
+    /// Maximum size of a row's value.
     row_bytes: usize,
-    /// Turns that hold or are getting a reservation.
     reservations: Cell<u64>,
 }
 
-/// Tokens set aside for a running turn. Dropped, it settles for what was passed on.
+/// Tokens reserved for a running turn. Dropping it settles the turn with the tokens sent so far.
 pub(crate) struct TurnReservation {
     manager: Rc<TurnManager>,
     program: ProgramName,
@@ -94,36 +90,35 @@
     used: Tokens,
     settled: bool,
     scope: TurnScope,
-    /// Where it ran whole.
+    /// The engine that completed the turn.
     ran_at: Option<PrefixHolder>,
-    /// The peer that claimed it for this instance.
+    /// Address of the peer that made the reservation for this instance.
     coordinator: Option<Box<str>>,
 }
 
 impl TurnReservation {
-    /// Counts tokens that are about to be passed on.
+    /// Must be called before the tokens are sent to the caller.
     pub(crate) fn record_tokens(&mut self, tokens: Tokens) {
         self.used += tokens;
     }
 
-    /// Tokens passed on so far.
     pub(crate) fn used(&self) -> Tokens {
         self.used
     }
 
-    /// Notes where the turn ran whole, for those that follow it.
+    /// Lets later turns be routed to the engine that holds this turn's prefix.
     pub(crate) fn record_holder(&mut self, holder: PrefixHolder) {
         self.ran_at = Some(holder);
     }
 
-    /// Leaves the reservation to the peer it was made for.
+    /// Leaves settlement to the peer for which the reservation was made.
     fn transfer(mut self) {
         self.settled = true;
     }
 
-    /// Writes the turn, which also settles what it used; it is durable when this returns.
+    /// Stores the turn's record, which also settles its tokens. Returns true if it is durable.
     ///
-    /// The write goes on if the caller of this function is dropped.
+    /// The write continues if the returned future is dropped.
     pub(crate) async fn complete(mut self, record: TurnRecord, deadline: Instant) -> bool {
         self.settled = true;
         let manager = self.manager.clone();
@@ -143,8 +138,7 @@
 }
 
 impl Drop for TurnReservation {
-    /// A turn that leaves no record, as it broke off or its history is not kept: its unused tokens go
-    /// back to the program.
+    /// Releases the unused tokens of a turn without a record: it failed, or its history is not stored.
     fn drop(&mut self) {
         self.manager.reservations.set(self.manager.reservations.get() - 1);
         if self.settled {
@@ -201,7 +195,7 @@
         self.cache.borrow().bytes()
     }
 
-    /// Turns of this instance that hold a reservation or wait for one.
+    /// Includes turns that wait for their reservation.
     pub(crate) fn reservations(&self) -> u64 {
         self.reservations.get()
     }
@@ -210,7 +204,7 @@
         self.cache.borrow().ledger(program).unwrap_or_default()
     }
 
-    /// Writes a ledger if it is still the version that was read, and notes what became of it.
+    /// Writes a ledger if the stored one still has `version`, and updates the cache.
     async fn write_ledger(
         &self,
         program: &ProgramName,
@@ -231,12 +225,12 @@
         }
     }
 
-    /// When what is used now expires, by the store's clock.
+    /// In milliseconds of the store's clock.
     fn retained_until(&self, retention: Duration) -> u64 {
         self.store.now_millis() + retention.as_millis() as u64
     }
 
-    /// Keeps another program's turns as long as those that go on from them.
+    /// Retains another program's turns for as long as the turns that continue from them.
     async fn extend_retention(
         &self,
         program: &ProgramName,
@@ -272,10 +266,10 @@
         }
     }
 
-    /// Writes a turn's record; false if it could not be made durable before `limit`.
+    /// Writes a turn's record; false if it is not durable by the deadline.
     ///
-    /// The ledger is left alone: the record itself says what was used. A write of both would conflict
-    /// with each reservation of another turn of the program.
+    /// The record states the tokens used, so the ledger is not written: that write would conflict with
+    /// reservations of the program's other turns.
     async fn record(
         &self,
         program: &ProgramName,
@@ -289,7 +283,7 @@
         let transaction = RowTransaction { checks, puts, removals: Vec::new() };
         loop {
             match self.committer.commit(transaction.clone(), SETTLE_COMMIT_DELAY).await {
-                // In a conflict the row is there: an earlier try took effect, its reply was lost.
+                // A conflict means that an earlier attempt was committed and its reply lost.
                 Ok(CommitReply::Committed(_) | CommitReply::Conflict(_)) => break,
                 Err(error) => {
                     if self.pause_before_retry(deadline).await {
@@ -307,14 +301,14 @@
         true
     }
 
-    /// Replaces the reservation of a turn that broke off by what was used.
+    /// Replaces a reservation by the tokens used.
     async fn settle(&self, program: &ProgramName, turn: &TurnId, used: Tokens, deadline: Instant) {
         loop {
             let (version, mut ledger) = self.ledger(program);
             ledger.settle(turn, used);
             match self.write_ledger(program, version, ledger, SETTLE_COMMIT_DELAY).await {
                 Ok(LedgerOutcome::Written) => return,
-                // An earlier try took effect, and only its reply was lost.
+                // An earlier attempt was committed and its reply lost.
                 Ok(_) if !self.ledger(program).1.is_reserved(turn) => return,
                 Ok(_) => {}
                 Err(error) => {
@@ -330,14 +324,14 @@
         }
     }
 
-    /// Waits before a write is tried again, while the store is away until it returns; false if the
-    /// limit leaves no time for that.
+    /// Waits for the retry delay and for the store to be reachable; false if the deadline is too close
+    /// for another attempt.
     async fn pause_before_retry(&self, deadline: Instant) -> bool {
         if Instant::now() + RETRY_DELAY >= deadline {
             return false;
         }
         sleep(RETRY_DELAY).await;
-        // Not later than the caller gives up, though nothing is lost by trying on.
+        // On timeout the caller still makes a last attempt.
         let _ = timeout_at(deadline, self.store.reachable()).await;
         true
     }
