--- a/src/gateway/turns/chain.rs
+++ b/src/gateway/turns/chain.rs
@@ -1,4 +1,4 @@
-//! What a turn continues from.
+//! Loads the chain of a turn: the turn with all its predecessors.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -9,25 +9,25 @@
 use crate::gateway::rows::RowRange;
 use crate::node::platform::StoreError;
 
-/// Why a chain could not be had.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum ChainError {
-    /// The store has no such turn: it was asked just now.
+    /// Confirmed by a read of the store.
     NoSuchTurn,
     Store(StoreError),
 }
 
-/// What a turn continues from.
+/// The records of a turn and its predecessors, whose inputs and outputs form the history that the
+/// next turn continues from.
 #[derive(Debug, Default)]
 pub(crate) struct TurnChain {
     /// Oldest first.
     pub(crate) turns: Vec<Rc<TurnRecord>>,
-    /// The program that made the last one, if it is another one than the turn's.
+    /// Author of the last turn, if it is a different program.
     pub(crate) origin: Option<ProgramName>,
 }
 
 impl TurnChain {
-    /// Other programs whose turns it goes on from.
+    /// Other programs whose turns are part of the chain.
     pub(crate) fn origins(&self) -> BTreeSet<ProgramName> {
         let earlier = self.turns.iter().filter_map(|turn| turn.origin.clone());
         earlier.chain(self.origin.clone()).collect()
@@ -35,10 +35,10 @@
 }
 
 impl TurnManager {
-    /// The chain that ends with `turn`, oldest first.
+    /// The chain that ends with `turn`.
     ///
-    /// The turn is looked for in the program first, and by the index if it is not there: a program
-    /// may go on from what another one said.
+    /// Missing turns are read from the program's own rows first, then found by the index: a program
+    /// may continue from another program's turn.
     pub(super) async fn chain(
         &self,
         program: &ProgramName,
@@ -79,7 +79,6 @@
         TurnChain { turns, origin: author.filter(|author| author != program) }
     }
 
-    /// Whether all of a chain is here.
     pub(super) fn has_chain(&self, turn: &TurnId) -> bool {
         matches!(self.lookup(turn), ChainLookup::Complete(_))
     }
@@ -88,7 +87,7 @@
         self.cache.borrow().chain(turn)
     }
 
-    /// The program that made a turn, from the index.
+    /// Reads the author of a turn from the index.
     async fn program_of(&self, turn: &TurnId) -> Result<ProgramName, ChainError> {
         let key = index_key(turn);
         let range = RowRange {
@@ -103,7 +102,7 @@
         String::from_utf8(value.to_vec()).map(Into::into).map_err(|_| ChainError::NoSuchTurn)
     }
 
-    /// Reads everything the store has of a program.
+    /// Reads all rows of a program into the cache.
     pub(super) async fn load(&self, program: &ProgramName) -> Result<(), StoreError> {
         let mut range = RowRange {
             table: PROGRAMS_TABLE.into(),
