--- a/src/gateway/turns/claim.rs
+++ b/src/gateway/turns/claim.rs
@@ -1,4 +1,4 @@
-//! What a turn needs before it may run: its chain, and its tokens set aside.
+//! Claims turns: loads a turn's chain and reserves its tokens before it runs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,79 +11,77 @@
 use crate::core::turns::{BranchName, PrefixHolder, ProgramName, TurnId, TurnScope};
 use crate::node::platform::StoreError;
 
-/// Times a turn is claimed before what it continues from counts as gone.
+/// A claim starts over when the program expires meanwhile; after the last attempt it fails with
+/// [`ClaimError::NoSuchTurn`].
 pub(super) const MAX_CLAIM_ATTEMPTS: usize = 3;
 
-/// What a turn asks for.
+/// Request to run a turn. Field names are part of the protocol between instances.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct TurnClaim {
     pub(crate) program: ProgramName,
     pub(crate) turn: TurnId,
     pub(crate) previous: Option<TurnId>,
-    /// Most tokens it generates.
+    /// Maximum number of tokens that the turn may generate.
     pub(crate) most: Tokens,
-    /// Tokens of the whole program.
+    /// Maximum number of tokens of all turns of the program.
     pub(crate) budget: Tokens,
-    /// How long the program's turns are kept from now on.
+    /// Retention of the program's turns, counted from the claim.
     pub(crate) retention: Duration,
     #[serde(default)]
     pub(crate) scope: TurnScope,
-    /// The line of turns that it belongs to.
+    /// Branch of the program; sent as `line`.
     #[serde(default)]
     pub(crate) line: Option<BranchName>,
-    /// Whether the program is turned away unless it has had turns before.
+    /// Rejects the claim if the program has no ledger yet.
     #[serde(default)]
     pub(crate) only_known: bool,
 }
 
-/// For whom a turn is claimed, which decides who takes back a reservation that may stand unseen.
+/// Decides whether tokens are preallocated, and which instance releases a reservation whose write may
+/// still be committed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ClaimSource {
-    /// This instance, which coordinates the program.
+    /// This instance coordinates the program.
     Coordinator,
-    /// This instance, instead of a coordinator that has not heard of the claim, or where there is none.
+    /// There is no coordinator, or it has not received the claim.
     Proxy,
-    /// This instance, after a coordinator whose reservation may take effect unseen.
+    /// The coordinator may have reserved, but did not reply.
     Takeover,
-    /// A peer, which may claim the turn another way and run it under this very reservation: taken back
-    /// here, the running turn's tokens would be counted nowhere.
+    /// On behalf of a peer, which may have taken the claim over and be running the turn under the same
+    /// reservation. Releasing it here would leave the turn's tokens uncounted.
     Peer,
 }
 
-/// A turn that may run.
 pub(crate) struct ClaimedTurn {
     pub(crate) chain: TurnChain,
-    /// The engine that ran the turn before, where the history is not kept.
+    /// Engine of the previous turn, if the history is not stored.
     pub(crate) holder: Option<PrefixHolder>,
     pub(crate) reservation: TurnReservation,
 }
 
-/// Why a turn may not run.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum ClaimError {
-    /// What it continues from does not exist: the store was asked just now.
+    /// The previous turn does not exist, confirmed by a read of the store.
     NoSuchTurn,
-    /// The program is new, and new ones are turned away.
+    /// The program is new and the claim was for known programs only.
     NotAdmitted,
-    /// The budget does not hold its most tokens on top of these.
+    /// The budget does not cover the turn's maximum on top of `committed`.
     Exhausted { committed: Tokens },
-    /// The store did not do its part; nothing of the claim stands.
+    /// A call of the store failed; nothing is reserved.
     Store(StoreError),
-    /// The same, but the reservation may stand. It is being taken back, so the turn must not be claimed
-    /// again: it would run under a reservation that vanishes, its tokens counted nowhere.
+    /// A call of the store failed after the reservation may have been committed. It is being released,
+    /// so the turn must not be claimed again: its tokens would not be counted.
     Indeterminate(StoreError),
 }
 
 impl TurnReservation {
-    /// What a store that did not do its part means for the claim.
     fn failure(&self, error: StoreError) -> ClaimError {
         if self.settled { ClaimError::Store(error) } else { ClaimError::Indeterminate(error) }
     }
 }
 
 impl TurnManager {
-    /// Reads what a turn continues from and sets its tokens aside, anew if the program has expired
-    /// since it was seen here.
+    /// Claims a turn at this instance.
     pub(super) async fn claim_here(
         self: &Rc<Self>,
         claim: &TurnClaim,
@@ -94,7 +92,7 @@
             return self.claim_tokens(claim, deadline, source).await;
         }
         let mut reservation = self.reservation(&claim.program, &claim.turn);
-        // Dropped unsettled, it takes back what a coordinator may have set aside unseen.
+        // If dropped unsettled, it releases what the coordinator may have reserved.
         reservation.settled = source != ClaimSource::Takeover;
         for _ in 0..MAX_CLAIM_ATTEMPTS {
             let chain = match &claim.previous {
