--- a/src/gateway/turns/coordinate.rs
+++ b/src/gateway/turns/coordinate.rs
@@ -1,8 +1,6 @@
-//! Turns that another instance claims, keeps and settles for this one.
-//!
-//! All turns of a program that meet at one instance find its chain and its ledger in memory, do not
-//! conflict, and share transactions. The coordinator is a hint: whatever it does not answer is done
-//! here, and since all writes have conditions and name the turn, doing it twice changes nothing.
+//! Claims, persists and settles turns through the instance that coordinates their program, which has
+//! chain and ledger in memory and batches writes. If it fails, this instance does the work itself: all
+//! writes are conditional and name the turn, so they are idempotent.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,33 +18,28 @@
 use crate::node::platform::StoreError;
 use crate::util::framed::{frame, unframe};
 
-/// Paths on the address for peers.
 pub(crate) const CLAIM_PATH: &str = "/claim";
 pub(crate) const PERSIST_PATH: &str = "/keep";
 pub(crate) const SETTLE_PATH: &str = "/settle";
 
-/// Shortest and longest wait for a coordinator before its work is done here, and its multiple of the
-/// usual answer time: as for calls of the store, which such an answer includes.
+/// Bounds of the timeout of calls to a coordinator, which is a multiple of the mean latency.
 const MIN_PEER_TIMEOUT: Duration = Duration::from_millis(120);
 const MAX_PEER_TIMEOUT: Duration = Duration::from_millis(700);
 const PEER_TIMEOUT_FACTOR: f64 = 4.0;
-/// Share of the newest answer time in the usual one: about the last eight count.
 const LATENCY_WEIGHT: f64 = 0.125;
-/// How long a coordinator that did not answer is passed over: members find out within a second or so
-/// whether it is gone, and each claim that still tries waits in vain.
+/// Bridges the time until membership detects that the coordinator has failed.
 const COORDINATOR_EJECTION: Duration = Duration::from_millis(800);
 
-/// Who coordinates a program, as far as this instance knows.
+/// The coordinator of a program according to this instance's view of the members.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum TurnCoordinator {
     Local,
-    /// The instance at this address for peers.
+    /// Peer address of the coordinating instance.
     Peer(Box<str>),
-    /// Each instance claims its own turns.
+    /// Coordination is disabled: each instance claims its own turns.
     Unassigned,
 }
 
-/// What is known of coordinators as peers.
 #[derive(Debug)]
 pub(super) struct CoordinatorHealth {
     latency: LatencyEstimate,
@@ -60,11 +53,10 @@
     }
 }
 
-/// Why a coordinator's answer is missing.
 enum PeerFailure {
-    /// It has not heard of the work.
+    /// The request was not sent.
     NotSent,
-    /// It may be doing it.
+    /// The request may have been carried out.
     Unknown,
 }
 
@@ -73,7 +65,7 @@
 }
 
 impl TurnManager {
-    /// Claims a turn at its coordinator; here if there is no other or it does not answer.
+    /// Claims a turn at its coordinator, or locally if the coordinator does not respond.
     pub(crate) async fn claim(
         self: &Rc<Self>,
         coordinator: TurnCoordinator,
@@ -92,7 +84,7 @@
         if self.coordinators.borrow().failed.contains(&peer) {
             return self.claim_here(&claim, deadline, ClaimSource::Proxy).await;
         }
-        // It goes on if the caller leaves meanwhile; what it was granted is then given back.
+        // Continues if the caller is dropped; the granted reservation is then released.
         let manager = self.clone();
         let claimed =
             actix_rt::spawn(async move { manager.claim_via_peer(&peer, &claim, deadline).await });
@@ -124,7 +116,7 @@
         self.claim_here(claim, deadline, source).await
     }
 
-    /// Reads a coordinator's reply; none if it makes no sense.
+    /// Returns `None` if the reply is malformed.
     async fn accept_claim_reply(
         self: &Rc<Self>,
         peer: &str,
@@ -140,8 +132,8 @@
                 return Some(Err(ClaimError::Exhausted { committed }));
             }
         };
-        // Read whole before anything is held: a reply that makes no sense leaves the claim to be made
-        // here, under the reservation that the coordinator may have made.
+        // Decode everything before creating the reservation: after a malformed reply the claim is
+        // repeated locally and may find the coordinator's reservation.
         let mut decoded = Vec::new();
         let mut start = 0;
         for turn in chain {
@@ -167,7 +159,7 @@
         })
     }
 
-    /// Asks a coordinator, which may take `extra` longer than its usual answer.
+    /// Calls a coordinator. `extra_time` is added to the timeout for work that waits by design.
     async fn call_peer(
         &self,
         peer: &str,
@@ -201,7 +193,7 @@
         }
     }
 
-    /// Has a coordinator keep a turn; false if that is to be done here.
+    /// Returns false if the caller has to persist the turn itself.
     pub(super) async fn persist_via_peer(
         &self,
         peer: &str,
@@ -223,7 +215,7 @@
         matches!(response, Ok((StatusCode::OK, _)))
     }
 
-    /// Has a coordinator settle a turn that leaves no record; false if that is to be done here.
+    /// Returns false if the caller has to settle the turn itself.
     pub(super) async fn settle_via_peer(&self, peer: &str, end: &TurnEnd) -> bool {
         let response =
             self.call_peer(peer, SETTLE_PATH, frame(end, &[]), SETTLE_COMMIT_DELAY).await;
