--- a/src/gateway/turns/claim.rs
+++ b/src/gateway/turns/claim.rs
@@ -32,7 +32,7 @@
     /// Branch of the program; sent as `line`.
     #[serde(default)]
     pub(crate) line: Option<BranchName>,
-    /// Rejects the claim if the program has no ledger yet.
+    /// Rejects the claim if the coordinator knows no earlier turn of the program.
     #[serde(default)]
     pub(crate) only_known: bool,
 }
