--- a/src/gateway/turns/allowances.rs
+++ b/src/gateway/turns/allowances.rs
@@ -1,4 +1,5 @@
-//! Tokens of programs whose history is not kept: set aside for several turns by one write.
+//! Token allowances of programs whose history is not stored: one write reserves tokens for several
+//! turns.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -16,30 +17,26 @@
     TurnScope,
 };
 
-/// Unused for so long, an allowance may be given back: its program has ended or pauses.
 const ALLOWANCE_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Allowances that were used so lately are given back when another instance coordinates their programs.
+/// Allowances used within this interval are released when their program's coordinator changes.
 const RECENT_USE_INTERVAL: Duration = Duration::from_secs(5);
-/// Allowances below which idle ones are not looked for.
+/// Number of allowances below which idle ones are not pruned.
 const MIN_PRUNE_COUNT: usize = 1_024;
 
-/// An allowance that this instance holds.
 struct HeldAllowance {
     allowance: TokenAllowance,
     used_at: Instant,
-    /// Where the last turn of each line of the program ran.
     holders: PrefixHolders,
-    /// Whether it holds no tokens ahead, as another instance coordinates the program.
+    /// Another instance coordinates the program, so this one preallocates no tokens.
     is_proxy: bool,
 }
 
-/// The allowances that this instance holds, by program.
 pub(super) struct ProgramAllowances {
     held: HashMap<ProgramName, HeldAllowance>,
-    /// Tells this life of the instance from all others.
+    /// Random, so that names of allowances are unique over restarts.
     incarnation: u64,
     allocated: u64,
-    /// How many there may be before idle ones are given back.
+    /// Number of allowances at which idle ones are released.
     prune_at: usize,
 }
 
@@ -66,12 +63,11 @@
         })
     }
 
-    /// Drops what is held for a program whose ledger is gone.
     pub(super) fn remove(&mut self, program: &str) {
         self.held.remove(program);
     }
 
-    /// Takes out allowances without a running turn.
+    /// Removes allowances that have no running turn and match the filter.
     fn take_idle(
         &mut self,
         filter: impl Fn(&HeldAllowance) -> bool,
@@ -82,8 +78,7 @@
 }
 
 impl TurnClaim {
-    /// How long its program's ledger is to be kept. A ledger that several turns share is not written at
-    /// each, so it is kept longer.
+    /// Longer if turns share an allowance, since the ledger is then not written at each turn.
     pub(super) fn ledger_retention(&self) -> Duration {
         match self.scope {
             TurnScope::History => self.retention,
@@ -93,7 +88,7 @@
 }
 
 impl TurnManager {
-    /// Claims a turn whose history is not kept: out of the program's allowance here, or by a write that
+    /// Claims a turn whose history is not stored: from the program's allowance, or by a write that
     /// extends it.
     pub(super) async fn claim_tokens(
         self: &Rc<Self>,
@@ -118,7 +113,7 @@
                 Err(ReserveError::Exhausted { committed }) => {
                     return Err(ClaimError::Exhausted { committed });
                 }
-                // An extension that takes effect unseen belongs to no turn, so nothing is in doubt.
+                // Never indeterminate: an extension that is committed late belongs to no turn.
                 Err(ReserveError::Store(error)) => return Err(ClaimError::Store(error)),
             }
         }
@@ -132,7 +127,7 @@
         ClaimedTurn { chain: TurnChain::default(), holder, reservation }
     }
 
-    /// Takes a turn's tokens out of what the ledger holds already; false if that takes a write.
+    /// Starts a turn from tokens that the ledger reserves already; false if a write is needed.
     fn draw_from_allowance(&self, claim: &TurnClaim) -> bool {
         if self.pending.borrow().contains_key(&claim.program) {
             return false;
@@ -151,7 +146,7 @@
         true
     }
 
-    /// Makes the program's allowance in a ledger hold a turn's tokens.
+    /// Extends the program's allowance in `ledger` to cover a turn.
     pub(super) fn extend_allowance(
         &self,
         ledger: &mut ProgramLedger,
@@ -171,7 +166,7 @@
         reply
     }
 
-    /// Takes a turn out of an allowance whose extension was not written.
+    /// Reverts the start of a turn after the write of the extension failed.
     pub(super) fn undo_allowance_start(&self, claim: &TurnClaim) {
         if claim.scope == TurnScope::Tokens
             && let Some(held) = self.allowances.borrow_mut().held.get_mut(&claim.program)
@@ -180,7 +175,7 @@
         }
     }
 
-    /// Notes what a turn has used of the allowance that is held here.
+    /// Settles a turn with the allowance that it was claimed from.
     pub(super) fn end_turn(self: &Rc<Self>, end: &TurnEnd) {
         let TurnEnd { program, turn, used, ran_at, .. } = end;
         let mut allowances = self.allowances.borrow_mut();
@@ -189,7 +184,7 @@
         if let Some(line) = ran_at {
             held.holders.record(line.clone());
         }
-        // The coordinator needs what is left here.
+        // The unused tokens are needed at the coordinator.
         if held.is_proxy && held.allowance.is_idle() {
             let allowance = held.allowance.clone();
             allowances.remove(program);
@@ -198,7 +193,6 @@
         }
     }
 
-    /// Gives back allowances that have been idle for long, when there are many.
     fn prune_allowances(self: &Rc<Self>) {
         let mut allowances = self.allowances.borrow_mut();
         if allowances.held.len() < allowances.prune_at {
@@ -212,8 +206,8 @@
         }
     }
 
-    /// Leaves to others the programs in use that they coordinate now: what is held of them is given
-    /// back, at once or when their turns here have ended.
+    /// Releases allowances of programs that another instance coordinates now, at once or when their
+    /// running turns have ended.
     pub(crate) fn release_reassigned_allowances(
         self: &Rc<Self>,
         not_coordinated: impl Fn(Vec<&ProgramName>) -> Vec<ProgramName>,
@@ -233,7 +227,7 @@
         }
     }
 
-    /// Gives back what programs that go on elsewhere need, before this instance ends.
+    /// Releases recently used allowances at shutdown, as their programs continue at other instances.
     pub(crate) async fn release_allowances(self: &Rc<Self>) {
         let idle = self
             .allowances
