--- a/src/gateway/turns/messages.rs
+++ b/src/gateway/turns/messages.rs
@@ -1,4 +1,4 @@
-//! What an instance and a coordinator say to each other: a line of JSON, then records.
+//! Messages between an instance and a coordinator: a line of JSON, followed by encoded records.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,24 +6,23 @@
 use crate::core::ids::Tokens;
 use crate::core::turns::{PrefixHolder, ProgramName, TurnId, TurnScope};
 
-/// A claim on its way to a coordinator.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct ClaimRequest {
     pub(super) claim: TurnClaim,
-    /// Whether the sender has the chain.
+    /// The sender has the chain cached, so the reply omits it.
     pub(super) knows_chain: bool,
     pub(super) limit_ms: u64,
 }
 
-/// One turn of a chain in a reply; the records follow the head one after another.
+/// Header of one turn of a chain; the records follow the JSON in the same order.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct ChainTurn {
     pub(super) turn: TurnId,
     pub(super) program: ProgramName,
+    /// Length of the encoded record.
     pub(super) bytes: usize,
 }
 
-/// What became of a claim.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum ClaimReply {
@@ -39,7 +38,7 @@
     },
 }
 
-/// A finished turn on its way to a coordinator; its record follows.
+/// Asks a coordinator to store a completed turn, whose record follows.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct PersistRequest {
     pub(super) program: ProgramName,
@@ -47,7 +46,7 @@
     pub(super) limit_ms: u64,
 }
 
-/// What a turn has used that leaves no record.
+/// Settles a turn that leaves no record.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(super) struct TurnEnd {
     pub(super) program: ProgramName,
@@ -55,7 +54,7 @@
     pub(super) used: Tokens,
     #[serde(default)]
     pub(super) scope: TurnScope,
-    /// Where it ran whole.
+    /// The engine that completed the turn.
     #[serde(default)]
     pub(super) ran_at: Option<PrefixHolder>,
 }
