--- a/src/gateway/turns/messages_tests.rs
+++ b/src/gateway/turns/messages_tests.rs
@@ -1,4 +1,4 @@
-//! Messages between instances keep their form, so that two releases understand each other.
+//! Guards against changes of the message format, which instances of different releases share.
 
 use rstest::rstest;
 use serde::Serialize;
@@ -25,6 +25,6 @@
     rewrite::<TurnEnd>,
     r#"{"program":"p","turn":"t","used":5,"scope":"history","ran_at":{"line":null,"upstream":"u","born":null}}"#
 )]
-fn messages_keep_their_form(#[case] rewrite: fn(&str) -> String, #[case] text: &str) {
+fn message_format_is_stable(#[case] rewrite: fn(&str) -> String, #[case] text: &str) {
     assert_eq!(rewrite(text), text);
 }
