--- a/src/gateway/turns/reserve.rs
+++ b/src/gateway/turns/reserve.rs
@@ -1,4 +1,4 @@
-//! Tokens set aside before a turn runs.
+//! Reserves the tokens of turns in their program's ledger before they run.
 
 use std::rc::Rc;
 
@@ -12,43 +12,40 @@
 use crate::core::turns::{ProgramLedger, ProgramName, ReserveReply, TurnScope};
 use crate::node::platform::StoreError;
 
-/// What became of a reservation.
 struct ReservationOutcome {
     result: Result<(), ReserveError>,
-    /// Whether a write may take effect that was not seen to: the tokens must be taken back.
+    /// A write may still be committed, so the tokens must be released.
     is_indeterminate: bool,
 }
 
-/// A reservation that waits for its program's ledger.
 pub(super) struct PendingReservation {
     claim: TurnClaim,
     deadline: Instant,
-    /// Whether all that the store has of the program was read since its ledger last changed.
+    /// All rows of the program were read since its ledger last changed.
     is_loaded: bool,
     is_indeterminate: bool,
-    /// Whether tokens of further turns are set aside too.
+    /// Reserves tokens of further turns too.
     preallocates: bool,
     reply: oneshot::Sender<ReservationOutcome>,
 }
 
 impl PendingReservation {
     fn finish(self, result: Result<(), ReserveError>) {
-        // Whoever no longer waits takes back what may stand.
+        // A caller that no longer waits releases the reservation on drop.
         let _ =
             self.reply.send(ReservationOutcome { result, is_indeterminate: self.is_indeterminate });
     }
 }
 
 impl TurnManager {
-    /// Sets a turn's most tokens aside, durably, before it runs.
+    /// Reserves a turn's maximum number of tokens durably.
     ///
-    /// A lost reply is no refusal and no grant: the same write is tried again, and finds the
-    /// reservation if the first one took effect. A reservation that is given up, or whose caller
-    /// leaves, while its write may still take effect is taken back: any write of the ledger voids the
-    /// condition of the one on its way. Left alone, it would end the program's budget too soon.
+    /// If a reply is lost, the write is retried and finds the reservation if the first attempt was
+    /// committed. A reservation that fails or is dropped while its write is in flight is released by
+    /// another write of the ledger, which voids the condition of the first.
     ///
-    /// Reservations of one program that come while its ledger is being written go together in the
-    /// next write; each by itself, sub-agents that start at once would conflict with one another.
+    /// Reservations that arrive while their program's ledger is being written share the next write, so
+    /// that sub-agents that start at once do not conflict with one another.
     pub(super) async fn reserve(
         self: &Rc<Self>,
         claim: &TurnClaim,
@@ -66,7 +63,7 @@
             preallocates: matches!(source, ClaimSource::Coordinator | ClaimSource::Peer),
             reply,
         };
-        // A caller that leaves while this is under way drops what is held.
+        // If the caller is dropped while this waits, the reservation is released.
         reservation.settled = false;
         self.enqueue(pending);
         let unknown = ReservationOutcome {
@@ -92,7 +89,7 @@
         }
     }
 
-    /// Writes a program's ledger until no reservation of it waits.
+    /// Writes a program's ledger until its queue is empty.
     async fn write_reservations(self: Rc<Self>, program: ProgramName) {
         while let Some(group) = self.take_pending(&program) {
             let left = self.reserve_group(&program, group).await;
@@ -101,11 +98,11 @@
         }
     }
 
-    /// The reservations that wait; none if there are none, after which the next one starts anew.
+    /// Takes the program's queue. If it is empty, removes its entry and returns `None`.
     fn take_pending(&self, program: &ProgramName) -> Option<Vec<PendingReservation>> {
         let mut groups = self.pending.borrow_mut();
         let mut waiting = std::mem::take(groups.get_mut(program)?);
-        // Callers that have left; nothing of theirs is to be set aside any more.
+        // Skip reservations whose callers were dropped.
         waiting.retain(|pending| !pending.reply.is_closed());
         if waiting.is_empty() {
             groups.remove(program);
@@ -114,7 +111,7 @@
         Some(waiting)
     }
 
-    /// One write for a group; those for which it has to be tried again.
+    /// Reserves for a group in one write. Returns the reservations to retry.
     async fn reserve_group(
         &self,
         program: &ProgramName,
@@ -151,7 +148,7 @@
         left
     }
 
-    /// Sets aside in a ledger what it has room for; those it has and those it has not.
+    /// Returns the reservations added to `ledger`, and those that it has no capacity for.
     fn reserve_in_ledger(
         &self,
         ledger: &mut ProgramLedger,
@@ -180,7 +177,7 @@
         (granted, insufficient)
     }
 
-    /// Reads the program anew for those whom its known state has no room for: turns of other
+    /// Reloads the program for reservations that do not fit the cached ledger: turns of other
     /// instances may have ended since.
     async fn reload_program(
         &self,
@@ -200,8 +197,8 @@
         insufficient
     }
 
-    /// Another write came first. An earlier try of ours may have been it; else nothing stands, and no
-    /// write still on its way can meet its condition.
+    /// The conflicting write may be an earlier attempt of this group. If not, nothing is reserved, and
+    /// the condition of a write in flight can no longer hold.
     fn resolve_conflict(
         &self,
         program: &ProgramName,
@@ -215,8 +212,8 @@
                 continue;
             }
             pending.is_indeterminate = false;
-            // The ledger is new, the records that settle its open turns may not be known: taken for
-            // all, a program is told that its budget is spent when it is not.
+            // Records that settle turns of the new ledger may not be loaded. Without them the budget
+            // would seem exhausted too early.
             pending.is_loaded = false;
             left.push(pending);
         }
@@ -224,7 +221,7 @@
     }
 }
 
-/// A write's reply is missing: those that have time left try again.
+/// Returns the reservations that have time for another attempt, after the retry delay.
 async fn retry_after_lost_reply(
     mut group: Vec<PendingReservation>,
     error: &StoreError,
