--- a/src/gateway/turns/rows.rs
+++ b/src/gateway/turns/rows.rs
@@ -1,4 +1,4 @@
-//! Where programs lie in the store, and how their rows are read and written.
+//! Maps the ledgers and turns of programs to rows of the store.
 
 use std::collections::BTreeMap;
 
@@ -8,23 +8,22 @@
 use crate::core::turns::{ProgramLedger, ProgramName, TurnId, TurnRecord, split_value};
 use crate::gateway::rows::{RowKey, RowTransaction, RowVersion, StoredRow};
 
-/// Table with the rows of programs; each program is a part of it.
+/// Each program is a part of this table.
 pub(crate) const PROGRAMS_TABLE: &str = "programs";
-/// Table that names the program of each turn.
+/// Index from a turn to its program.
 const INDEX_TABLE: &str = "turn-programs";
-/// Key of a program's ledger; it sorts before the turns.
+/// Sorts before the keys of turns.
 pub(crate) const LEDGER_KEY: &str = "ledger";
-/// Keys of turns: this, the turn's id, and the number of the piece.
+/// Keys of turns have the form `t/TURN/CHUNK`.
 const TURN_KEY_PREFIX: &str = "t/";
-/// Text that a row keeps free for the store's own fields, in bytes.
+/// Part of a row that the store needs for its own fields.
 const ROW_OVERHEAD_BYTES: usize = 256;
 
 pub(crate) fn row_key(program: &ProgramName, key: &str) -> RowKey {
     RowKey { table: PROGRAMS_TABLE.into(), part: program.clone(), key: key.into() }
 }
 
-/// The index row of a turn, in a part of its own: the store writes a part one transaction after
-/// another, so turns that share a part would wait for each other.
+/// Each index row has a part of its own, since the store serializes transactions of one part.
 pub(crate) fn index_key(turn: &TurnId) -> RowKey {
     RowKey { table: INDEX_TABLE.into(), part: turn.clone(), key: turn.clone() }
 }
@@ -34,7 +33,7 @@
     Some((turn.into(), chunk.parse().ok()?))
 }
 
-/// Writes a ledger if it is still the version that was read.
+/// A write that is conditional on the version of the stored ledger.
 pub(super) fn ledger_write(
     program: &ProgramName,
     version: RowVersion,
@@ -58,7 +57,6 @@
 }
 
 impl TurnManager {
-    /// Takes rows of a program into the cache.
     pub(super) fn cache_rows(&self, program: &ProgramName, rows: Vec<StoredRow>) {
         let mut chunks_by_turn: BTreeMap<TurnId, Vec<(usize, Bytes)>> = BTreeMap::new();
         for row in rows {
@@ -86,10 +84,10 @@
         }
     }
 
-    /// Takes the rows of a conflict about a program's ledger; true if the ledger is gone.
+    /// Caches the ledger reported by a conflict; true if the stored ledger was removed.
     ///
-    /// An expired program was removed while its turns still lay in this cache. Going on from them
-    /// would write a turn whose history is nowhere, so all that is known of it is dropped.
+    /// The cached turns of a removed program are dropped: continuing from them would store a turn
+    /// without its history.
     pub(super) fn cache_conflict(
         &self,
         program: &ProgramName,
