--- a/src/gateway/turns/serve.rs
+++ b/src/gateway/turns/serve.rs
@@ -1,4 +1,4 @@
-//! Turns that this instance claims, keeps and settles for its peers.
+//! Serves peers as the coordinator of their programs: claims, stores and settles turns.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 use crate::util::framed::{frame, unframe};
 
 impl TurnManager {
-    /// Claims a turn for a peer; none if the peer must do it itself.
+    /// Returns `None` if the peer must claim the turn itself.
     ///
-    /// The reservation is the peer's from here on. It is not taken back when the peer has gone: the
-    /// peer may have claimed the turn another way and be running it under this reservation.
+    /// The reservation belongs to the peer from here on. It is kept even if the peer disconnects: the
+    /// peer may have taken the claim over and be running the turn under this reservation.
     async fn claim_for_peer(self: &Rc<Self>, request: &ClaimRequest) -> Option<Bytes> {
         let claim = &request.claim;
         let deadline = Instant::now() + Duration::from_millis(request.limit_ms);
@@ -35,7 +35,7 @@
         Some(frame(&reply, &[]))
     }
 
-    /// The reply with a chain, whose last turn is the claim's previous one.
+    /// `records` are the chain that ends with the claim's previous turn.
     fn granted_reply(
         &self,
         claim: &TurnClaim,
@@ -57,7 +57,7 @@
         frame(&ClaimReply::Granted { chain, holder }, &parts)
     }
 
-    /// Does a peer's work: the reply's status and body. It goes on if the peer leaves meanwhile.
+    /// Returns the status and body of the reply. The work continues if the peer disconnects.
     pub(crate) async fn serve_peer(
         self: &Rc<Self>,
         path: &str,
