--- a/src/gateway/committer.rs
+++ b/src/gateway/committer.rs
@@ -1,7 +1,5 @@
-//! Writes of many requests in few transactions.
-//!
-//! Each store call has a price and the store takes a bounded number a second, so writes wait a
-//! little for others. What a conflict names fails; the rest of the batch goes out again.
+//! Batches writes of many requests into few transactions, as the store limits and charges its calls.
+//! In a conflict the transactions whose checks failed are rejected and the rest is sent again.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -15,49 +13,43 @@
 use super::store::StoreLink;
 use crate::node::platform::StoreError;
 
-/// Rows in one transaction; the store takes 100.
+/// The store accepts 100.
 const MAX_TRANSACTION_ROWS: usize = 96;
-/// Text in one transaction, in bytes; the store takes 1 MB, in which it grows by a third.
+/// The store accepts 1 MB of encoded text, which is a third larger.
 const MAX_TRANSACTION_BYTES: usize = 600_000;
-
-/// Transactions under way at once. More only add to the store's queue, and what waits for one of them
-/// to end travels together.
+/// More transactions at once would queue in the store, while waiting ones can be batched.
 const MAX_IN_FLIGHT: u32 = 4;
-/// Shortest and longest pause before what was refused for the store's rate goes out again, together
-/// with what has come meanwhile; drawn evenly, so that instances do not return together.
+/// Bounds of the random delay after a rate limit error; random, so that instances do not retry
+/// together.
 const MIN_RATE_DELAY: Duration = Duration::from_millis(15);
 const MAX_RATE_DELAY: Duration = Duration::from_millis(60);
-/// Times a transaction is refused for the store's rate before its sender is told: about a second.
+/// Rate limit errors after which a transaction fails.
 const MAX_RATE_ATTEMPTS: u32 = 25;
 
 type CommitResult = Result<CommitReply, StoreError>;
 
 struct QueuedCommit {
     transaction: RowTransaction,
-    /// When it leaves at the latest.
+    /// Latest time to send it.
     due: Instant,
-    /// Whether it was not to wait at all.
     is_urgent: bool,
-    /// Times it was refused for the store's rate.
     rate_attempts: u32,
     reply: oneshot::Sender<CommitResult>,
 }
 
-/// Collects transactions and commits them together.
 pub(crate) struct StoreCommitter {
     store: Rc<StoreLink>,
     defers_over_rate: bool,
     queue: RefCell<Vec<QueuedCommit>>,
     queued: Notify,
     batches: Cell<u64>,
-    /// Transactions under way.
     in_flight: Cell<u32>,
-    /// Nothing leaves before, after a refusal for the store's rate.
+    /// Nothing is sent before this time, after a rate limit error.
     paused_until: Cell<Option<Instant>>,
 }
 
 impl StoreCommitter {
-    /// `holds` tells whether what the store refuses for its rate waits for a later batch.
+    /// `defers_over_rate` requeues transactions after a rate limit error instead of failing them.
     pub(crate) fn new(store: Rc<StoreLink>, defers_over_rate: bool) -> Self {
         Self {
             store,
@@ -70,12 +62,12 @@
         }
     }
 
-    /// Transactions sent so far.
+    /// Number of transactions sent so far.
     pub(crate) fn batches(&self) -> u64 {
         self.batches.get()
     }
 
-    /// Commits a transaction, together with others that come within `patience`.
+    /// Commits a transaction in a batch, sent after at most `max_delay` unless others are in flight.
     pub(crate) async fn commit(
         &self,
         transaction: RowTransaction,
@@ -94,12 +86,12 @@
             reply,
         });
         self.queued.notify_one();
-        // The batch's task never ends without an answer; if it is dropped, so is the process.
+        // The sender is only dropped at the end of the process.
         receiver.await.unwrap_or(Err(StoreError::ReplyLost))
     }
 
-    /// Without transactions over several parts, parts without conditions are written first: until
-    /// the checked part follows, nothing refers to them.
+    /// For stores without transactions over several parts. Parts without checks are written first:
+    /// nothing refers to them until the checked part is committed.
     async fn commit_by_part(&self, transaction: &RowTransaction) -> CommitResult {
         let mut reply = Err(StoreError::Unavailable);
         for part in transaction.by_part() {
@@ -112,7 +104,6 @@
         reply
     }
 
-    /// Sends batches as they fall due.
     pub(crate) async fn run(self: Rc<Self>) {
         loop {
             let due = self.queue.borrow().iter().map(|queued| queued.due).min();
@@ -133,13 +124,12 @@
         }
     }
 
-    /// As many queued transactions as fit, no two of which concern the same row.
+    /// Takes as many queued transactions as fit, no two of which access the same row.
     fn take_batch(&self) -> Vec<QueuedCommit> {
         let mut queue = self.queue.borrow_mut();
         let mut keys: BTreeSet<RowKey> = BTreeSet::new();
         let (mut rows, mut bytes) = (0, 0);
-        // A transaction over several parts takes the store twice as long, and a caller waits for the
-        // urgent ones: while the store is slow 50-fold, that is 150 ms a turn.
+        // Transactions over several parts take longer, and callers wait for the urgent ones.
         let urgent_only = self.store.is_slow() && queue.iter().any(|queued| queued.is_urgent);
         let mut batch = Vec::new();
         let mut remaining = Vec::new();
@@ -178,14 +168,14 @@
             }
             result => {
                 for queued in batch {
-                    // Whoever no longer waits has given the request up.
+                    // The caller may have been dropped.
                     let _ = queued.reply.send(result.clone());
                 }
             }
         }
     }
 
-    /// Keeps what was refused for the store's rate for a later batch.
+    /// Queues a batch again after a rate limit error.
     fn requeue(&self, batch: Vec<QueuedCommit>) {
         let delay = rand::random_range(MIN_RATE_DELAY..MAX_RATE_DELAY);
         for mut queued in batch {
@@ -200,7 +190,7 @@
         self.queued.notify_one();
     }
 
-    /// Tells those whose conditions failed, and sends the others again at once.
+    /// Rejects the transactions whose checks failed and sends the others again at once.
     fn resolve_conflict(&self, batch: Vec<QueuedCommit>, rows: &[StoredRow]) {
         let version = |key: &RowKey| -> RowVersion {
             rows.iter().find(|row| row.key == *key).map_or(0, |row| row.version)
