--- a/src/gateway/sweep.rs
+++ b/src/gateway/sweep.rs
@@ -1,4 +1,4 @@
-//! Deletes programs whose turns nobody may go on from any more, one instance at a time.
+//! Deletes expired programs from the store, from one instance at a time.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -15,29 +15,27 @@
 use crate::core::turns::{DEFAULT_RETENTION, ProgramLedger, ProgramName};
 use crate::node::platform::StoreError;
 
-/// Table of duties that one instance at a time performs.
+/// Leases of jobs that one instance at a time performs.
 const LEASES_TABLE: &str = "duties";
 const SWEEP_KEY: &str = "sweep";
-/// Shortest pause between two sweeps, and until routes are known.
+/// Also the delay until routes are known.
 const MIN_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// A sweep is due this often in the time that turns are kept: what has expired stays half as long
-/// again at most.
+/// Bounds the time that an expired program stays in the store.
 const SWEEPS_PER_RETENTION: u32 = 2;
-/// Kept beyond the time due: clocks of instances that were paused run behind the store's.
+/// The margin covers instances that were paused, whose clocks run behind the store's.
 const EXPIRY_MARGIN_DIVISOR: u32 = 2;
-/// Pause between two programs that are looked at: a sweep takes at most 20 calls a second.
+/// Limits the rate of store calls during a sweep.
 const PROGRAM_DELAY: Duration = Duration::from_millis(50);
-/// Rows removed in one transaction; each turn has an index row on top.
+/// Excludes the index rows that are removed in the same transaction.
 const MAX_REMOVED_ROWS: usize = 40;
 
-/// Who sweeps, until when by the store's clock.
 #[derive(Debug, Serialize, Deserialize)]
 struct SweepLease {
     holder: InstanceId,
+    /// By the store's clock.
     until_ms: u64,
 }
 
-/// The sweeping task of one instance.
 pub(crate) struct ProgramSweeper {
     instance: InstanceId,
     store: Rc<StoreLink>,
@@ -49,9 +47,8 @@
         Self { instance, store, news }
     }
 
-    /// Sweeps whenever it is due and this instance holds the lease.
     pub(crate) async fn run(self) {
-        // When known programs expire, so that those are not read again before.
+        // Programs are not read again before they expire.
         let mut expiries: BTreeMap<ProgramName, u64> = BTreeMap::new();
         loop {
             let Some(table) = self.news.routes() else {
@@ -70,7 +67,7 @@
         }
     }
 
-    /// One sweep; none if another instance holds the lease.
+    /// Returns the number of removed programs, or `None` if another instance holds the lease.
     async fn sweep(
         &self,
         expiries: &mut BTreeMap<ProgramName, u64>,
@@ -101,8 +98,8 @@
         Ok(Some(removed))
     }
 
-    /// Takes or renews the lease. Two holders at once would do no harm: every removal is
-    /// conditional on the ledger that was read.
+    /// Acquires or renews the lease. Two holders at once do no harm: every removal is conditional on
+    /// the ledger that was read.
     async fn acquire_lease(&self, interval: Duration) -> Result<bool, StoreError> {
         let key =
             RowKey { table: LEASES_TABLE.into(), part: Box::default(), key: SWEEP_KEY.into() };
@@ -145,7 +142,7 @@
         }
     }
 
-    /// Version of a program's ledger and when it expires, in milliseconds of the store's clock.
+    /// Version of a program's ledger, and its expiry in milliseconds of the store's clock.
     async fn expiry(&self, program: &ProgramName) -> Result<Option<(RowVersion, u64)>, StoreError> {
         let range = RowRange {
             table: PROGRAMS_TABLE.into(),
@@ -162,9 +159,9 @@
         Ok(ledger.map(|ledger| (version, ledger.retained_until())))
     }
 
-    /// Removes a program's turns, then its ledger; false if it came to life meanwhile.
+    /// Removes a program's turns, then its ledger; false if the program was used meanwhile.
     ///
-    /// The ledger goes last, so that whoever stops on the way leaves something to find the rest by.
+    /// The ledger is removed last, so that the next sweep finds the program after an interruption.
     async fn remove(&self, program: &ProgramName, version: RowVersion) -> Result<bool, StoreError> {
         let ledger = row_key(program, LEDGER_KEY);
         loop {
