--- a/src/gateway/sweep/tests.rs
+++ b/src/gateway/sweep/tests.rs
@@ -1,4 +1,4 @@
-//! The sweep's lease keeps its form, so that instances of two releases share it.
+//! Guards against changes of the stored lease, which instances of different releases share.
 
 use super::SweepLease;
 
