--- a/src/gateway/turns/reserve.rs
+++ b/src/gateway/turns/reserve.rs
@@ -92,9 +92,9 @@
     /// Writes a program's ledger until its queue is empty.
     async fn write_reservations(self: Rc<Self>, program: ProgramName) {
         while let Some(group) = self.take_pending(&program) {
-            let left = self.reserve_group(&program, group).await;
+            let remaining = self.reserve_group(&program, group).await;
             let mut groups = self.pending.borrow_mut();
-            groups.entry(program.clone()).or_default().extend(left);
+            groups.entry(program.clone()).or_default().extend(remaining);
         }
     }
 
@@ -119,9 +119,9 @@
     ) -> Vec<PendingReservation> {
         let (version, mut ledger) = self.ledger(program);
         let (granted, insufficient) = self.reserve_in_ledger(&mut ledger, group);
-        let mut left = self.reload_program(program, insufficient).await;
+        let mut remaining = self.reload_program(program, insufficient).await;
         if granted.is_empty() {
-            return left;
+            return remaining;
         }
         let reply = self.write_ledger(program, version, ledger, RESERVE_COMMIT_DELAY).await;
         if !matches!(reply, Ok(LedgerOutcome::Written)) {
@@ -137,15 +137,17 @@
                     pending.finish(Err(ReserveError::Expired));
                 }
             }
-            Ok(LedgerOutcome::Conflict) => left.extend(self.resolve_conflict(program, granted)),
+            Ok(LedgerOutcome::Conflict) => {
+                remaining.extend(self.resolve_conflict(program, granted))
+            }
             Err(StoreError::Unavailable) => {
                 for pending in granted {
                     pending.finish(Err(ReserveError::Store(StoreError::Unavailable)));
                 }
             }
-            Err(error) => left.extend(retry_after_lost_reply(granted, &error).await),
+            Err(error) => remaining.extend(retry_after_lost_reply(granted, &error).await),
         }
-        left
+        remaining
     }
 
     /// Returns the reservations added to `ledger`, and those that it has no capacity for.
@@ -205,7 +207,7 @@
         group: Vec<PendingReservation>,
     ) -> Vec<PendingReservation> {
         let (_, ledger) = self.ledger(program);
-        let mut left = Vec::new();
+        let mut remaining = Vec::new();
         for mut pending in group {
             if ledger.is_reserved(&pending.claim.turn) {
                 pending.finish(Ok(()));
@@ -215,9 +217,9 @@
             // Records that settle turns of the new ledger may not be loaded. Without them the budget
             // would seem exhausted too early.
             pending.is_loaded = false;
-            left.push(pending);
+            remaining.push(pending);
         }
-        left
+        remaining
     }
 }
 
@@ -227,14 +229,14 @@
     error: &StoreError,
 ) -> Vec<PendingReservation> {
     group.iter_mut().for_each(|pending| pending.is_indeterminate = true);
-    let again = Instant::now() + RETRY_DELAY;
-    let (left, late): (Vec<_>, Vec<_>) =
-        group.into_iter().partition(|pending| again < pending.deadline);
-    for pending in late {
+    let retry_at = Instant::now() + RETRY_DELAY;
+    let (remaining, expired): (Vec<_>, Vec<_>) =
+        group.into_iter().partition(|pending| retry_at < pending.deadline);
+    for pending in expired {
         pending.finish(Err(ReserveError::Store(error.clone())));
     }
-    if !left.is_empty() {
+    if !remaining.is_empty() {
         sleep(RETRY_DELAY).await;
     }
-    left
+    remaining
 }
