--- a/tests/gateway_turns.rs
+++ b/tests/gateway_turns.rs
@@ -1,4 +1,4 @@
-//! Turns over several instances: their history.
+//! Stored history of turns across several instances.
 
 mod platform_standin;
 
@@ -11,7 +11,7 @@
 #[case::coordinated(json!({}))]
 #[case::alone(alone())]
 #[actix_rt::test]
-async fn another_instance_goes_on_from_a_turn(#[case] own: Value) {
+async fn chain_continues_at_another_instance(#[case] own: Value) {
     let deployment = Deployment::start_with(2, 1, &own).await;
     let first = deployment.gateways[0].call(&turn("t1", "p", None, "one ")).await;
     assert_eq!((first.status(), first.whole), (200, true));
@@ -21,10 +21,10 @@
     assert_eq!(bodies, ["one ".to_owned(), chained("one ", "two ")]);
 }
 
-/// Both instances are killed as soon as the caller has the whole answer. A new instance that has
-/// never seen the program is asked for the next turn: the history must be in the store by then.
+/// Guards against a response that completes before its turn is durable: both instances are killed, and
+/// a new one runs the next turn.
 #[actix_rt::test]
-async fn history_outlives_all_instances() {
+async fn history_survives_the_loss_of_all_instances() {
     let mut deployment = Deployment::start(2, 1).await;
     deployment.gateways[0].call(&turn("t1", "p", None, "one ")).await;
     for gateway in &mut deployment.gateways {
@@ -37,13 +37,12 @@
     assert_eq!(deployment.runs()[1].text(), chained("one ", "two "));
 }
 
-/// A new program goes on from what another program said, on an instance that knows neither. The
-/// turn lies in the other program's part of the store, which its id does not tell.
+/// Guards against a lookup of the previous turn in the program's own part of the store only.
 #[rstest::rstest]
 #[case::coordinated(json!({}))]
 #[case::alone(alone())]
 #[actix_rt::test]
-async fn a_program_goes_on_from_another_programs_turn(#[case] own: Value) {
+async fn chain_continues_from_another_programs_turn(#[case] own: Value) {
     let deployment = Deployment::start_with(2, 1, &own).await;
     deployment.gateways[0].call(&turn("t1", "p", None, "one ")).await;
     deployment.gateways[0].call(&turn("t2", "p", Some("t1"), "two ")).await;
@@ -51,23 +50,23 @@
     assert_eq!(next.status(), 200);
     let history = chained(&chained("one ", "two "), "three ");
     assert_eq!(deployment.runs()[2].text(), history);
-    // And on from there: the chain now spans two programs.
+    // The chain now spans two programs.
     let last = deployment.gateways[0].call(&turn("t4", "other", Some("t3"), "four ")).await;
     assert_eq!(last.status(), 200);
     assert_eq!(deployment.runs()[3].text(), chained(&history, "four "));
 }
 
 #[actix_rt::test]
-async fn an_unknown_turn_is_not_found_and_runs_nowhere() {
+async fn unknown_previous_turn_is_rejected_without_a_run() {
     let deployment = Deployment::start(1, 1).await;
     let answer = deployment.gateway().call(&turn("t1", "p", Some("never"), "x")).await;
     assert_eq!(answer.status(), 404);
     assert!(deployment.runs().is_empty());
 }
 
-/// On a store whose transactions keep to one part, the index is written before the turn it names.
+/// Guards against turns without an index on a store whose transactions are limited to one part.
 #[actix_rt::test]
-async fn a_store_without_transactions_over_parts_will_do() {
+async fn chain_continues_without_transactions_over_parts() {
     let mut deployment = Deployment::start(0, 1).await;
     let store = deployment.store_address.clone();
     let by_part = json!({ "store_across_parts": false });
@@ -82,8 +81,8 @@
     assert_eq!(deployment.runs()[1].text(), chained("one ", "two "));
 }
 
-/// The store writes a part one transaction after another. Turns of different programs that end at
-/// once must not wait for each other, so no two of them may write to the same part.
+/// Guards against writes of different programs that wait for each other: the store serializes the
+/// transactions of one part.
 #[actix_rt::test]
 async fn turns_of_different_programs_share_no_part() {
     const PROGRAMS: usize = 40;
@@ -99,9 +98,8 @@
     }
 }
 
-/// Turns are kept for three seconds after they were last named. One program's turn is gone on from
-/// all the while, by another program; a second program is left alone. Only the second may go, with
-/// its index; the first must stay although nobody calls on its own behalf.
+/// Guards against a sweep that removes a program whose turn another program still continues from, or
+/// that leaves the index of an expired one.
 #[actix_rt::test]
 async fn only_expired_programs_are_swept() {
     let deployment = Deployment::start(2, 1).await;
@@ -113,10 +111,10 @@
     gateway.call(&turn("t1", "old", None, "one ")).await;
     gateway.call(&turn("alone", "lonely", None, "alone ")).await;
     let number = std::cell::Cell::new(2);
-    wait_until("the lonely program is gone", async || {
+    wait_until("the unused program is removed", async || {
         number.set(number.get() + 1);
         let request = turn(&format!("t{}", number.get()), "young", Some("t1"), "x");
-        assert_eq!(gateway.call(&request).await.status(), 200, "the named turn is kept");
+        assert_eq!(gateway.call(&request).await.status(), 200, "the turn in use is retained");
         tokio::time::sleep(Duration::from_millis(100)).await;
         deployment.store.values("programs", "t/alone/").is_empty()
     })
@@ -126,12 +124,12 @@
     assert_eq!(gateway.call(&turn("x", "p", Some("alone"), "y")).await.status(), 404);
 }
 
-/// A turn larger than a row of the store is kept in pieces.
+/// Guards against records that exceed the store's limit on rows.
 #[rstest::rstest]
 #[case::coordinated(json!({}))]
 #[case::alone(alone())]
 #[actix_rt::test]
-async fn a_large_turn_is_kept_whole(#[case] own: Value) {
+async fn record_larger_than_a_row_is_stored_in_chunks(#[case] own: Value) {
     let deployment = Deployment::start_with(2, 1, &own).await;
     let large = "x".repeat(90_000);
     deployment.gateways[0].call(&turn("t1", "p", None, &large)).await;
