--- a/tests/gateway_allowances.rs
+++ b/tests/gateway_allowances.rs
@@ -1,4 +1,4 @@
-//! Budgets on routes whose history is not kept.
+//! Token budgets on routes without stored history.
 
 mod platform_standin;
 
@@ -8,7 +8,7 @@
 use platform_standin::{Deployment, TestGateway, alone, budgeted_turn, route, wait_until};
 use serde_json::{Value, json};
 
-/// Gateways whose route of turns keeps no history, but says for how long ledgers are kept.
+/// The route of turns stores no history and sets a retention for ledgers.
 async fn deployment(gateways: usize, own: &Value) -> Deployment {
     let mut deployment = Deployment::start(0, 1).await;
     deployment.set_routes(2, &[prompt_route()]);
@@ -30,18 +30,17 @@
     gateway.call(&budgeted_turn(id, "p", None, "x", budget)).await.status()
 }
 
-/// Writes of ledgers that the store has taken.
 fn ledger_writes(deployment: &Deployment) -> usize {
     let transactions = deployment.store.transactions();
     transactions.iter().filter(|keys| keys.iter().any(|key| key.contains("ledger"))).count()
 }
 
-/// Guards against budgets that hold only where the history is kept.
+/// Guards against budgets that are enforced only where the history is stored.
 #[rstest::rstest]
 #[case::coordinated(json!({}))]
 #[case::alone(alone())]
 #[actix_rt::test]
-async fn a_budget_holds_without_a_history(#[case] own: Value) {
+async fn budget_is_enforced_without_history(#[case] own: Value) {
     let deployment = deployment(2, &own).await;
     deployment.all_named().await;
     assert_eq!(spend(&deployment.gateways[0], "t1", 13).await, 200);
@@ -49,12 +48,12 @@
     assert_eq!(spend(&deployment.gateways[0], "t3", 13).await, 402);
     assert_eq!(spend(&deployment.gateways[1], "t4", 13).await, 402);
     assert_eq!(deployment.runs().len(), 2);
-    assert!(deployment.store.values("programs", "t/").is_empty(), "no history is kept");
+    assert!(deployment.store.values("programs", "t/").is_empty(), "no history is stored");
 }
 
-/// Guards against a write of the store for each turn of a program that is far from its budget.
+/// Guards against a ledger write per turn for programs that are far below their budget.
 #[actix_rt::test]
-async fn turns_far_from_the_budget_share_a_write() {
+async fn turns_far_below_the_budget_share_a_ledger_write() {
     let deployment = deployment(1, &json!({})).await;
     for number in 0..5 {
         assert_eq!(spend(deployment.gateway(), &format!("t{number}"), 1_000).await, 200);
@@ -62,9 +61,9 @@
     assert_eq!(ledger_writes(&deployment), 1);
 }
 
-/// Guards against a spent budget that is forgotten with the process that counted it.
+/// Guards against spent tokens that are counted only in memory.
 #[actix_rt::test]
-async fn a_budget_holds_over_a_restart() {
+async fn spent_tokens_survive_a_restart() {
     let mut deployment = deployment(1, &json!({})).await;
     assert_eq!(spend(deployment.gateway(), "t1", 13).await, 200);
     assert_eq!(spend(deployment.gateway(), "t2", 13).await, 200);
@@ -75,9 +74,9 @@
     assert_eq!(deployment.runs().len(), 2);
 }
 
-/// Guards against a planned stop that keeps tokens which the program needs elsewhere.
+/// Guards against a shutdown that leaves preallocated tokens reserved.
 #[actix_rt::test]
-async fn a_stop_gives_back_what_is_held_ahead() {
+async fn shutdown_releases_preallocated_tokens() {
     let mut deployment = deployment(1, &json!({})).await;
     assert_eq!(spend(deployment.gateway(), "t1", 24).await, 200);
     let mut former = deployment.gateways.remove(0);
@@ -89,15 +88,15 @@
     assert_eq!(spend(deployment.gateway(), "t5", 24).await, 402);
 }
 
-/// Guards against a torn turn that counts for nothing, or for all that it might have generated.
+/// Guards against an interrupted turn that is not charged, or charged for its maximum.
 #[actix_rt::test]
-async fn a_torn_turn_counts_for_what_was_passed_on() {
+async fn interrupted_turn_is_charged_for_sent_tokens() {
     let deployment = deployment(1, &json!({})).await;
     deployment.engines[0].act(EngineAct::CutAfter(1));
-    let torn = deployment.gateway().call(&budgeted_turn("t1", "p", None, "x", 14)).await;
-    assert_eq!((torn.status(), torn.whole), (200, false));
+    let interrupted = deployment.gateway().call(&budgeted_turn("t1", "p", None, "x", 14)).await;
+    assert_eq!((interrupted.status(), interrupted.whole), (200, false));
     for id in ["t2", "t3"] {
-        wait_until("the unused tokens return", async || {
+        wait_until("the unused tokens are released", async || {
             let before = deployment.runs().len();
             spend(deployment.gateway(), id, 14).await == 200 && deployment.runs().len() > before
         })
@@ -106,10 +105,9 @@
     assert_eq!(spend(deployment.gateway(), "t4", 14).await, 402);
 }
 
-/// Guards against the turns of a program that read their whole prompt at another engine each time, as
-/// another instance gets each of them.
+/// Guards against a cold prefix cache whenever the next turn arrives at another instance.
 #[actix_rt::test]
-async fn turns_stay_at_their_engine_over_instances() {
+async fn turns_stay_at_their_engine_across_instances() {
     let mut deployment = deployment(3, &json!({})).await;
     deployment.all_named().await;
     for number in 0..6 {
@@ -132,9 +130,9 @@
     assert_eq!(used.count(), 1);
 }
 
-/// Guards against tokens that stay with an instance which no longer coordinates their program.
+/// Guards against tokens that stay reserved by an instance that no longer coordinates their program.
 #[actix_rt::test]
-async fn tokens_ahead_go_to_the_next_coordinator_at_once() {
+async fn preallocated_tokens_are_released_when_the_coordinator_changes() {
     let mut deployment = deployment(2, &json!({})).await;
     deployment.all_named().await;
     for number in 0..8 {
@@ -144,7 +142,7 @@
     for gateway in &mut deployment.gateways {
         gateway.begin_stop();
     }
-    wait_until("all is given back", async || {
+    wait_until("all allowances are released", async || {
         let ledgers = deployment.store.values("programs", "ledger");
         ledgers
             .iter()
