--- a/tests/gateway_coordinators.rs
+++ b/tests/gateway_coordinators.rs
@@ -1,4 +1,4 @@
-//! A program's turns meet at one instance, which may be killed, silent or in doubt.
+//! Coordination of a program's turns by one instance, also if that one is killed, silent or slow.
 
 mod platform_standin;
 
@@ -13,13 +13,12 @@
 use serde_json::json;
 use tokio::time::Instant;
 
-/// Instances for each coordinator: with so few, all have the same one.
-const SPAN: usize = 4;
+/// Exceeds the number of instances, so that all programs have the same coordinator.
+const COORDINATOR_SPAN: usize = 4;
 
-/// A program's turns come to three instances by turns. All of them meet at one, which has the chain
-/// and the ledger in memory: the store is asked for the program once, not at every turn.
+/// Guards against a read of the store at each turn: the coordinator has chain and ledger in memory.
 #[actix_rt::test]
-async fn turns_of_a_program_meet_at_one_instance() {
+async fn program_is_read_once_across_instances() {
     let deployment = Deployment::start(3, 1).await;
     deployment.all_named().await;
     let mut history = String::new();
@@ -35,11 +34,10 @@
     assert!(reads <= 1, "the program was read {reads} times");
 }
 
-/// The instance that coordinates a program is killed while a turn of another instance is at the engine,
-/// and a fresh one takes its place; that three times. Every turn is answered whole, nothing runs twice,
-/// and the budget counts each turn once.
+/// Guards against turns that are lost, repeated or miscounted when their coordinator is killed while
+/// they run.
 #[actix_rt::test]
-async fn a_killed_coordinator_costs_no_turn() {
+async fn killed_coordinator_loses_no_turn() {
     let mut deployment = Deployment::start(3, 1).await;
     let store = deployment.store_address.clone();
     let mut previous: Option<String> = None;
@@ -47,7 +45,8 @@
     for kill in 0..3 {
         deployment.all_named().await;
         let instances = deployment.gateways.iter().map(|gateway| &*gateway.settings.instance);
-        let victim = coordinator("p", SPAN, instances).expect("there are some").to_owned();
+        let victim =
+            coordinator("p", COORDINATOR_SPAN, instances).expect("there are some").to_owned();
         let at = deployment.gateways.iter().position(|g| *g.settings.instance == *victim);
         let mut victim = deployment.gateways.swap_remove(at.expect("it is one of them"));
         for round in 0..3 {
@@ -68,16 +67,15 @@
         let ip = format!("127.0.0.{}", 20 + kill);
         deployment.add_gateway_at(&ip, &store, &json!({})).await;
     }
-    // Nine turns of six tokens are all that the budget holds.
+    // The budget covers nine turns of six tokens.
     let spent = budgeted_turn("t9", "p", previous.as_deref(), "x", 54);
     assert_eq!(deployment.gateway().call(&spent).await.status(), 402);
     assert_eq!(deployment.runs().len(), runs);
 }
 
-/// A program starts ten sub-agents at once. Their reservations go into its ledger together: each by
-/// itself they conflict with one another, and the last one waits for ten writes.
+/// Guards against sub-agents that start at once and conflict with one another on the ledger.
 #[actix_rt::test]
-async fn parallel_turns_share_a_reservation() {
+async fn parallel_turns_share_ledger_writes() {
     let deployment = &Deployment::start(1, 1).await;
     assert_eq!(deployment.gateway().call(&turn("t", "p", None, "x")).await.status(), 200);
     let before = deployment.store.calls_with("/rows-tx");
@@ -91,14 +89,14 @@
     assert!(writes <= 8, "{writes} writes for ten turns");
 }
 
-/// Two instances, of which the second coordinates all programs and has its own way to the store only.
-async fn with_coordinator_at(own: &serde_json::Value) -> (Deployment, Rc<Cell<StoreFault>>) {
+/// Two instances, of which the second coordinates all programs and has a separate store address.
+async fn start_with_coordinator(own: &serde_json::Value) -> (Deployment, Rc<Cell<StoreFault>>) {
     let mut deployment = Deployment::start(1, 1).await;
     let (address, fault) = deployment.store.start_with_fault("127.0.0.1").await;
     let first = TestGateway::instance("127.0.0.2");
     let coordinates = |ip: &String| {
         let instance = TestGateway::instance(ip);
-        coordinator("p", SPAN, [&*first, &*instance]) == Some(&*instance)
+        coordinator("p", COORDINATOR_SPAN, [&*first, &*instance]) == Some(&*instance)
     };
     let ip = (20..).map(|number| format!("127.0.0.{number}")).find(coordinates);
     deployment.add_gateway_at(&ip.expect("one comes first"), &address, own).await;
@@ -106,14 +104,12 @@
     (deployment, fault)
 }
 
-/// The coordinator's reservation lands, its reply is lost, and the store turns it away. The other
-/// instance waits 120 ms, claims the turn itself, finds the reservation and runs the turn for two
-/// seconds under it. Meanwhile the coordinator reaches the store again: if it took the reservation back,
-/// the turn would count for nothing, and the budget would hold one turn too many.
+/// Guards against a coordinator that releases a reservation under which its peer, having taken the
+/// claim over, runs the turn: its tokens would not be counted.
 #[actix_rt::test]
-async fn a_coordinator_in_doubt_leaves_the_reservation() {
+async fn coordinator_keeps_a_reservation_that_its_peer_took_over() {
     let own = json!({ "without": ["relays", "offer_withdrawal"] });
-    let (deployment, fault) = with_coordinator_at(&own).await;
+    let (deployment, fault) = start_with_coordinator(&own).await;
     deployment.engines[0].act(EngineAct::Paced(Duration::from_millis(900)));
     fault.set(StoreFault::LateWrites(1, Duration::from_millis(40)));
     let call = deployment.gateway().call_later(&budgeted_turn("t1", "p", None, "x", 12));
@@ -127,12 +123,11 @@
     assert_eq!(next.status(), 402, "6 are spent, 6 more are 12");
 }
 
-/// The coordinator answers nothing, as one that is frozen: each turn is claimed by the instance itself
-/// after a short wait, and the next ones do not wait at all.
+/// Guards against turns that each wait for the timeout of a coordinator that does not respond.
 #[actix_rt::test]
-async fn a_silent_coordinator_is_passed_over() {
+async fn silent_coordinator_is_ejected() {
     let own = json!({ "without": ["relays", "offer_withdrawal"] });
-    let (deployment, fault) = with_coordinator_at(&own).await;
+    let (deployment, fault) = start_with_coordinator(&own).await;
     fault.set(StoreFault::Silent);
     let mut slow = 0;
     for number in 0..8 {
