--- a/src/gateway/committer.rs
+++ b/src/gateway/committer.rs
@@ -23,7 +23,6 @@
 /// together.
 const MIN_RATE_DELAY: Duration = Duration::from_millis(15);
 const MAX_RATE_DELAY: Duration = Duration::from_millis(60);
-/// Rate limit errors after which a transaction fails.
 const MAX_RATE_ATTEMPTS: u32 = 25;
 
 type CommitResult = Result<CommitReply, StoreError>;
@@ -62,12 +61,11 @@
         }
     }
 
-    /// Number of transactions sent so far.
     pub(crate) fn batches(&self) -> u64 {
         self.batches.get()
     }
 
-    /// Commits a transaction in a batch, sent after at most `max_delay` unless others are in flight.
+    /// Commits a transaction in a batch. `max_delay` is how long it may wait for others to join.
     pub(crate) async fn commit(
         &self,
         transaction: RowTransaction,
@@ -175,7 +173,6 @@
         }
     }
 
-    /// Queues a batch again after a rate limit error.
     fn requeue(&self, batch: Vec<QueuedCommit>) {
         let delay = rand::random_range(MIN_RATE_DELAY..MAX_RATE_DELAY);
         for mut queued in batch {
