--- a/src/gateway/turns/allowances.rs
+++ b/src/gateway/turns/allowances.rs
@@ -1,5 +1,4 @@
-//! Token allowances of programs whose history is not stored: one write reserves tokens for several
-//! turns.
+//! Token allowances: one write reserves tokens for several turns of a program without history.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -20,7 +19,6 @@
 const ALLOWANCE_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Allowances used within this interval are released when their program's coordinator changes.
 const RECENT_USE_INTERVAL: Duration = Duration::from_secs(5);
-/// Number of allowances below which idle ones are not pruned.
 const MIN_PRUNE_COUNT: usize = 1_024;
 
 struct HeldAllowance {
@@ -36,7 +34,6 @@
     /// Random, so that names of allowances are unique over restarts.
     incarnation: u64,
     allocated: u64,
-    /// Number of allowances at which idle ones are released.
     prune_at: usize,
 }
 
@@ -67,7 +64,6 @@
         self.held.remove(program);
     }
 
-    /// Removes allowances that have no running turn and match the filter.
     fn take_idle(
         &mut self,
         filter: impl Fn(&HeldAllowance) -> bool,
@@ -146,7 +142,6 @@
         true
     }
 
-    /// Extends the program's allowance in `ledger` to cover a turn.
     pub(super) fn extend_allowance(
         &self,
         ledger: &mut ProgramLedger,
@@ -175,14 +170,13 @@
         }
     }
 
-    /// Settles a turn with the allowance that it was claimed from.
     pub(super) fn end_turn(self: &Rc<Self>, end: &TurnEnd) {
         let TurnEnd { program, turn, used, ran_at, .. } = end;
         let mut allowances = self.allowances.borrow_mut();
         let Some(held) = allowances.held.get_mut(program) else { return };
         held.allowance.end(turn, *used);
-        if let Some(line) = ran_at {
-            held.holders.record(line.clone());
+        if let Some(holder) = ran_at {
+            held.holders.record(holder.clone());
         }
         // The unused tokens are needed at the coordinator.
         if held.is_proxy && held.allowance.is_idle() {
