--- a/src/gateway/turns/chain.rs
+++ b/src/gateway/turns/chain.rs
@@ -87,7 +87,6 @@
         self.cache.borrow().chain(turn)
     }
 
-    /// Reads the author of a turn from the index.
     async fn program_of(&self, turn: &TurnId) -> Result<ProgramName, ChainError> {
         let key = index_key(turn);
         let range = RowRange {
@@ -102,7 +101,6 @@
         String::from_utf8(value.to_vec()).map(Into::into).map_err(|_| ChainError::NoSuchTurn)
     }
 
-    /// Reads all rows of a program into the cache.
     pub(super) async fn load(&self, program: &ProgramName) -> Result<(), StoreError> {
         let mut range = RowRange {
             table: PROGRAMS_TABLE.into(),
