--- a/src/gateway/turns/claim.rs
+++ b/src/gateway/turns/claim.rs
@@ -41,7 +41,6 @@
 /// still be committed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ClaimSource {
-    /// This instance coordinates the program.
     Coordinator,
     /// There is no coordinator, or it has not received the claim.
     Proxy,
@@ -65,8 +64,9 @@
     NoSuchTurn,
     /// The program is new and the claim was for known programs only.
     NotAdmitted,
-    /// The budget does not cover the turn's maximum on top of `committed`.
-    Exhausted { committed: Tokens },
+    Exhausted {
+        committed: Tokens,
+    },
     /// A call of the store failed; nothing is reserved.
     Store(StoreError),
     /// A call of the store failed after the reservation may have been committed. It is being released,
@@ -81,7 +81,6 @@
 }
 
 impl TurnManager {
-    /// Claims a turn at this instance.
     pub(super) async fn claim_here(
         self: &Rc<Self>,
         claim: &TurnClaim,
