--- a/src/gateway/turns/coordinate.rs
+++ b/src/gateway/turns/coordinate.rs
@@ -54,7 +54,6 @@
 }
 
 enum PeerFailure {
-    /// The request was not sent.
     NotSent,
     /// The request may have been carried out.
     Unknown,
