--- a/src/gateway/turns/mod.rs
+++ b/src/gateway/turns/mod.rs
@@ -67,7 +67,6 @@
     Removed,
 }
 
-/// Claims, stores and settles turns, with a cache of their records and ledgers.
 pub(crate) struct TurnManager {
     store: Rc<StoreLink>,
     committer: Rc<StoreCommitter>,
@@ -90,7 +89,6 @@
     used: Tokens,
     settled: bool,
     scope: TurnScope,
-    /// The engine that completed the turn.
     ran_at: Option<PrefixHolder>,
     /// Address of the peer that made the reservation for this instance.
     coordinator: Option<Box<str>>,
@@ -116,9 +114,8 @@
         self.settled = true;
     }
 
-    /// Stores the turn's record, which also settles its tokens. Returns true if it is durable.
-    ///
-    /// The write continues if the returned future is dropped.
+    /// Stores the turn's record, which also settles its tokens; true if it is durable. The write
+    /// continues if the returned future is dropped.
     pub(crate) async fn complete(mut self, record: TurnRecord, deadline: Instant) -> bool {
         self.settled = true;
         let manager = self.manager.clone();
@@ -301,7 +298,6 @@
         true
     }
 
-    /// Replaces a reservation by the tokens used.
     async fn settle(&self, program: &ProgramName, turn: &TurnId, used: Tokens, deadline: Instant) {
         loop {
             let (version, mut ledger) = self.ledger(program);
