--- a/src/gateway/turns/reserve.rs
+++ b/src/gateway/turns/reserve.rs
@@ -24,7 +24,6 @@
     /// All rows of the program were read since its ledger last changed.
     is_loaded: bool,
     is_indeterminate: bool,
-    /// Reserves tokens of further turns too.
     preallocates: bool,
     reply: oneshot::Sender<ReservationOutcome>,
 }
@@ -89,7 +88,6 @@
         }
     }
 
-    /// Writes a program's ledger until its queue is empty.
     async fn write_reservations(self: Rc<Self>, program: ProgramName) {
         while let Some(group) = self.take_pending(&program) {
             let remaining = self.reserve_group(&program, group).await;
@@ -102,7 +100,6 @@
     fn take_pending(&self, program: &ProgramName) -> Option<Vec<PendingReservation>> {
         let mut groups = self.pending.borrow_mut();
         let mut waiting = std::mem::take(groups.get_mut(program)?);
-        // Skip reservations whose callers were dropped.
         waiting.retain(|pending| !pending.reply.is_closed());
         if waiting.is_empty() {
             groups.remove(program);
