--- a/src/gateway/turns/rows.rs
+++ b/src/gateway/turns/rows.rs
@@ -10,8 +10,7 @@
 
 /// Each program is a part of this table.
 pub(crate) const PROGRAMS_TABLE: &str = "programs";
-/// Index from a turn to its program.
-const INDEX_TABLE: &str = "turn-programs";
+const TURN_INDEX_TABLE: &str = "turn-programs";
 /// Sorts before the keys of turns.
 pub(crate) const LEDGER_KEY: &str = "ledger";
 /// Keys of turns have the form `t/TURN/CHUNK`.
@@ -25,7 +24,7 @@
 
 /// Each index row has a part of its own, since the store serializes transactions of one part.
 pub(crate) fn index_key(turn: &TurnId) -> RowKey {
-    RowKey { table: INDEX_TABLE.into(), part: turn.clone(), key: turn.clone() }
+    RowKey { table: TURN_INDEX_TABLE.into(), part: turn.clone(), key: turn.clone() }
 }
 
 pub(crate) fn parse_turn_key(key: &str) -> Option<(TurnId, usize)> {
