--- a/src/gateway/turns/allowances.rs
+++ b/src/gateway/turns/allowances.rs
@@ -132,8 +132,8 @@
         let Some(held) = allowances.held.get_mut(&claim.program) else { return false };
         let Some((_, ledger)) = self.cache.borrow().ledger(&claim.program) else { return false };
         let demand = held.allowance.demand(&claim.turn, claim.most);
-        let lasts = ledger.retained_until() >= self.retained_until(claim.retention);
-        if !lasts || ledger.reserved(held.allowance.name()) < demand.min_tokens {
+        let is_retained = ledger.retained_until() >= self.retained_until(claim.retention);
+        if !is_retained || ledger.reserved(held.allowance.name()) < demand.min_tokens {
             return false;
         }
         held.allowance.start(&claim.turn, claim.most);
@@ -207,9 +207,9 @@
         not_coordinated: impl Fn(Vec<&ProgramName>) -> Vec<ProgramName>,
     ) {
         let mut allowances = self.allowances.borrow_mut();
-        let in_use =
+        let recent =
             allowances.held.iter().filter(|(_, held)| held.used_at.elapsed() < RECENT_USE_INTERVAL);
-        let reassigned = not_coordinated(in_use.map(|(program, _)| program).collect());
+        let reassigned = not_coordinated(recent.map(|(program, _)| program).collect());
         for program in reassigned {
             let Some(held) = allowances.held.get_mut(&program) else { continue };
             held.is_proxy = true;
--- a/src/gateway/turns/claim.rs
+++ b/src/gateway/turns/claim.rs
@@ -81,7 +81,7 @@
 }
 
 impl TurnManager {
-    pub(super) async fn claim_here(
+    pub(super) async fn claim_locally(
         self: &Rc<Self>,
         claim: &TurnClaim,
         deadline: Instant,
--- a/src/gateway/turns/coordinate.rs
+++ b/src/gateway/turns/coordinate.rs
@@ -73,15 +73,15 @@
     ) -> Result<ClaimedTurn, ClaimError> {
         let peer = match coordinator {
             TurnCoordinator::Local => {
-                return self.claim_here(&claim, deadline, ClaimSource::Coordinator).await;
+                return self.claim_locally(&claim, deadline, ClaimSource::Coordinator).await;
             }
             TurnCoordinator::Unassigned => {
-                return self.claim_here(&claim, deadline, ClaimSource::Proxy).await;
+                return self.claim_locally(&claim, deadline, ClaimSource::Proxy).await;
             }
             TurnCoordinator::Peer(peer) => peer,
         };
         if self.coordinators.borrow().failed.contains(&peer) {
-            return self.claim_here(&claim, deadline, ClaimSource::Proxy).await;
+            return self.claim_locally(&claim, deadline, ClaimSource::Proxy).await;
         }
         // Continues if the caller is dropped; the granted reservation is then released.
         let manager = self.clone();
@@ -112,7 +112,7 @@
             Err(PeerFailure::NotSent) => ClaimSource::Proxy,
         };
         log::debug!("event=claim_taken_over turn={} peer={peer}", claim.turn);
-        self.claim_here(claim, deadline, source).await
+        self.claim_locally(claim, deadline, source).await
     }
 
     /// Returns `None` if the reply is malformed.
--- a/src/gateway/turns/mod.rs
+++ b/src/gateway/turns/mod.rs
@@ -128,7 +128,7 @@
                 manager.cache.borrow_mut().insert(&program, turn, record.into());
                 return true;
             }
-            manager.record(&program, &turn, record, deadline).await
+            manager.store_record(&program, &turn, record, deadline).await
         };
         actix_rt::spawn(persist).await.unwrap_or(false)
     }
@@ -267,7 +267,7 @@
     ///
     /// The record states the tokens used, so the ledger is not written: that write would conflict with
     /// reservations of the program's other turns.
-    async fn record(
+    async fn store_record(
         &self,
         program: &ProgramName,
         turn: &TurnId,
@@ -283,7 +283,7 @@
                 // A conflict means that an earlier attempt was committed and its reply lost.
                 Ok(CommitReply::Committed(_) | CommitReply::Conflict(_)) => break,
                 Err(error) => {
-                    if self.pause_before_retry(deadline).await {
+                    if self.wait_before_retry(deadline).await {
                         continue;
                     }
                     log::warn!(
@@ -308,7 +308,7 @@
                 Ok(_) if !self.ledger(program).1.is_reserved(turn) => return,
                 Ok(_) => {}
                 Err(error) => {
-                    if self.pause_before_retry(deadline).await {
+                    if self.wait_before_retry(deadline).await {
                         continue;
                     }
                     log::warn!(
@@ -322,7 +322,7 @@
 
     /// Waits for the retry delay and for the store to be reachable; false if the deadline is too close
     /// for another attempt.
-    async fn pause_before_retry(&self, deadline: Instant) -> bool {
+    async fn wait_before_retry(&self, deadline: Instant) -> bool {
         if Instant::now() + RETRY_DELAY >= deadline {
             return false;
         }
--- a/src/gateway/turns/rows.rs
+++ b/src/gateway/turns/rows.rs
@@ -93,14 +93,14 @@
         expected: RowVersion,
         rows: Vec<StoredRow>,
     ) -> bool {
-        let gone = expected > 0 && !rows.iter().any(|row| &*row.key.key == LEDGER_KEY);
-        if gone {
+        let is_removed = expected > 0 && !rows.iter().any(|row| &*row.key.key == LEDGER_KEY);
+        if is_removed {
             self.cache.borrow_mut().remove(program);
             self.allowances.borrow_mut().remove(program);
         }
         let ledgers = rows.into_iter().filter(|row| &*row.key.key == LEDGER_KEY);
         self.cache_rows(program, ledgers.collect());
-        gone
+        is_removed
     }
 
     fn cache_ledger(&self, program: &ProgramName, version: RowVersion, value: &[u8]) {
--- a/src/gateway/turns/serve.rs
+++ b/src/gateway/turns/serve.rs
@@ -21,7 +21,7 @@
     async fn claim_for_peer(self: &Rc<Self>, request: &ClaimRequest) -> Option<Bytes> {
         let claim = &request.claim;
         let deadline = Instant::now() + Duration::from_millis(request.limit_ms);
-        let reply = match self.claim_here(claim, deadline, ClaimSource::Peer).await {
+        let reply = match self.claim_locally(claim, deadline, ClaimSource::Peer).await {
             Ok(claimed) => {
                 claimed.reservation.transfer();
                 let records = if request.knows_chain { &[][..] } else { &claimed.chain.turns[..] };
@@ -92,7 +92,7 @@
         let Ok((request, record)) = unframe::<PersistRequest>(body) else { return malformed };
         let Ok(record) = TurnRecord::decode(record) else { return malformed };
         let deadline = Instant::now() + Duration::from_millis(request.limit_ms);
-        match self.record(&request.program, &request.turn, record, deadline).await {
+        match self.store_record(&request.program, &request.turn, record, deadline).await {
             true => (StatusCode::OK, Bytes::new()),
             false => unavailable,
         }
--- a/tests/gateway_coordinators.rs
+++ b/tests/gateway_coordinators.rs
@@ -13,7 +13,7 @@
 use serde_json::json;
 use tokio::time::Instant;
 
-/// Exceeds the number of instances, so that all programs have the same coordinator.
+/// Instances per coordinator: more than a test starts, so that all programs share one coordinator.
 const COORDINATOR_SPAN: usize = 4;
 
 /// Guards against a read of the store at each turn: the coordinator has chain and ledger in memory.
