--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -139,7 +139,7 @@
                 return Err(RelayError::Broken(AnswerError::Foreign));
             }
             if let Some(turn) = turn.as_mut() {
-                turn.reservation.count(events * call.event_tokens);
+                turn.reservation.record_tokens(events * call.event_tokens);
             }
             state.first.get_or_insert_with(|| call.arrived.elapsed());
             writer.chunk(chunk).await.map_err(|_| RelayError::CallerLeft)?;
@@ -217,7 +217,7 @@
             if !events.is_whole() {
                 return CallEnd::cut("stream_torn", Some(upstream));
             }
-            turn.note_holder(call.head.line.as_ref(), &choice);
+            turn.record_holder(call.head.line.as_ref(), &choice);
             if turn.is_kept() && !turn.keep(&choice, events, call.deadline).await {
                 return CallEnd::cut("turn_not_kept", Some(upstream));
             }
--- a/src/gateway/call/turn.rs
+++ b/src/gateway/call/turn.rs
@@ -163,9 +163,9 @@
 
     fn coordinator(&self, program: &ProgramName) -> TurnCoordinator {
         if !self.settings.uses(GatewayMechanism::Coordinators) {
-            return TurnCoordinator::Nobody;
+            return TurnCoordinator::Unassigned;
         }
-        self.members.coordinator(program).map_or(TurnCoordinator::Here, TurnCoordinator::Peer)
+        self.members.coordinator(program).map_or(TurnCoordinator::Local, TurnCoordinator::Peer)
     }
 
     /// Claims the turn at the instance that coordinates its program, or here.
@@ -187,7 +187,7 @@
             Err(ClaimError::Exhausted { .. }) => "exhausted",
             Err(ClaimError::NoSuchTurn) => "no_such_turn",
             Err(ClaimError::NotAdmitted) => "not_admitted",
-            Err(ClaimError::Store(_) | ClaimError::Doubtful(_)) => "store_failed",
+            Err(ClaimError::Store(_) | ClaimError::Indeterminate(_)) => "store_failed",
         });
         claimed
     }
@@ -241,7 +241,9 @@
             }
             ClaimError::NotAdmitted => Refusal::not_run("engines_overloaded", NOT_ADMITTED_RETRY),
             ClaimError::NoSuchTurn => Refusal::rejected(StatusCode::NOT_FOUND, "no_such_turn"),
-            ClaimError::Store(error) | ClaimError::Doubtful(error) => self.store_refusal(&error),
+            ClaimError::Store(error) | ClaimError::Indeterminate(error) => {
+                self.store_refusal(&error)
+            }
         }
     }
 
@@ -272,8 +274,8 @@
 
 impl TurnWork {
     /// Notes which engine holds what the next turn of the line begins with.
-    pub(super) fn note_holder(&mut self, line: Option<&BranchName>, choice: &UpstreamChoice) {
-        self.reservation.note_holder(PrefixHolder {
+    pub(super) fn record_holder(&mut self, line: Option<&BranchName>, choice: &UpstreamChoice) {
+        self.reservation.record_holder(PrefixHolder {
             line: line.cloned(),
             upstream: choice.id.clone(),
             born: choice.started_at,
--- a/src/gateway/sweep/tests.rs
+++ b/src/gateway/sweep/tests.rs
@@ -1,10 +1,10 @@
-//! The sweep's lease keeps its form, so that instances of two releases share it.
+//! Guards against changes of the stored lease, which instances of different releases share.
 
 use super::SweepLease;
 
 #[test]
-fn the_lease_keeps_its_form() {
+fn stored_lease_format_is_stable() {
     let text = r#"{"holder":"a","until_ms":1700}"#;
-    let lease: SweepLease = serde_json::from_str(text).expect("it is readable");
+    let lease: SweepLease = serde_json::from_str(text).expect("leases are readable");
     assert_eq!(serde_json::to_string(&lease).expect("leases serialize"), text);
 }
--- a/src/gateway/turns/coordinate.rs
+++ b/src/gateway/turns/coordinate.rs
@@ -1,8 +1,6 @@
-//! Turns that another instance claims, keeps and settles for this one.
-//!
-//! All turns of a program that meet at one instance find its chain and its ledger in memory, do not
-//! conflict, and share transactions. The coordinator is a hint: whatever it does not answer is done
-//! here, and since all writes have conditions and name the turn, doing it twice changes nothing.
+//! Claims, persists and settles turns through the instance that coordinates their program, which has
+//! chain and ledger in memory and batches writes. If it fails, this instance does the work itself: all
+//! writes are conditional and name the turn, so they are idempotent.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,41 +10,36 @@
 use tokio::time::Instant;
 
 use super::claim::{ClaimError, ClaimSource, ClaimedTurn, TurnClaim};
-use super::messages::{ClaimReply, ClaimRequest, KeepRequest, TurnEnd};
-use super::{ChainError, SETTLE_PATIENCE, TurnChain, TurnKeeper};
+use super::messages::{ClaimReply, ClaimRequest, PersistRequest, TurnEnd};
+use super::{ChainError, SETTLE_COMMIT_DELAY, TurnChain, TurnManager};
 use crate::core::turns::{ProgramName, TurnId, TurnRecord, TurnScope};
 use crate::gateway::http::ExchangeError;
 use crate::gateway::latency::{FailedPeers, LatencyEstimate};
 use crate::node::platform::StoreError;
 use crate::util::framed::{frame, unframe};
 
-/// Paths on the address for peers.
 pub(crate) const CLAIM_PATH: &str = "/claim";
-pub(crate) const KEEP_PATH: &str = "/keep";
+pub(crate) const PERSIST_PATH: &str = "/keep";
 pub(crate) const SETTLE_PATH: &str = "/settle";
 
-/// Shortest and longest wait for a coordinator before its work is done here, and its multiple of the
-/// usual answer time: as for calls of the store, which such an answer includes.
-const PATIENCE_MIN: Duration = Duration::from_millis(120);
-const PATIENCE_MAX: Duration = Duration::from_millis(700);
-const PATIENCE_FACTOR: f64 = 4.0;
-/// Share of the newest answer time in the usual one: about the last eight count.
-const LATENCY_SHARE: f64 = 0.125;
-/// How long a coordinator that did not answer is passed over: members find out within a second or so
-/// whether it is gone, and each claim that still tries waits in vain.
-const PASSED_OVER: Duration = Duration::from_millis(800);
-
-/// Who coordinates a program, as far as this instance knows.
+/// Bounds of the timeout of calls to a coordinator, which is a multiple of the mean latency.
+const MIN_PEER_TIMEOUT: Duration = Duration::from_millis(120);
+const MAX_PEER_TIMEOUT: Duration = Duration::from_millis(700);
+const PEER_TIMEOUT_FACTOR: f64 = 4.0;
+const LATENCY_WEIGHT: f64 = 0.125;
+/// Bridges the time until membership detects that the coordinator has failed.
+const COORDINATOR_EJECTION: Duration = Duration::from_millis(800);
+
+/// The coordinator of a program according to this instance's view of the members.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum TurnCoordinator {
-    Here,
-    /// The instance at this address for peers.
+    Local,
+    /// Peer address of the coordinating instance.
     Peer(Box<str>),
-    /// Each instance claims its own turns.
-    Nobody,
+    /// Coordination is disabled: each instance claims its own turns.
+    Unassigned,
 }
 
-/// What is known of coordinators as peers.
 #[derive(Debug)]
 pub(super) struct CoordinatorHealth {
     latency: LatencyEstimate,
@@ -55,72 +48,75 @@
 
 impl Default for CoordinatorHealth {
     fn default() -> Self {
-        let failed = FailedPeers::new(PASSED_OVER);
-        Self { latency: LatencyEstimate::new(LATENCY_SHARE), failed }
+        let failed = FailedPeers::new(COORDINATOR_EJECTION);
+        Self { latency: LatencyEstimate::new(LATENCY_WEIGHT), failed }
     }
 }
 
-/// Why a coordinator's answer is missing.
 enum PeerFailure {
-    /// It has not heard of the work.
     NotSent,
-    /// It may be doing it.
+    /// The request may have been carried out.
     Unknown,
 }
 
-fn left_ms(limit: Instant) -> u64 {
-    limit.saturating_duration_since(Instant::now()).as_millis() as u64
+fn remaining_ms(deadline: Instant) -> u64 {
+    deadline.saturating_duration_since(Instant::now()).as_millis() as u64
 }
 
-impl TurnKeeper {
-    /// Claims a turn at its coordinator; here if there is no other or it does not answer.
+impl TurnManager {
+    /// Claims a turn at its coordinator, or locally if the coordinator does not respond.
     pub(crate) async fn claim(
         self: &Rc<Self>,
         coordinator: TurnCoordinator,
         claim: TurnClaim,
-        limit: Instant,
+        deadline: Instant,
     ) -> Result<ClaimedTurn, ClaimError> {
         let peer = match coordinator {
-            TurnCoordinator::Here => {
-                return self.claim_here(&claim, limit, ClaimSource::Own).await;
+            TurnCoordinator::Local => {
+                return self.claim_locally(&claim, deadline, ClaimSource::Coordinator).await;
             }
-            TurnCoordinator::Nobody => {
-                return self.claim_here(&claim, limit, ClaimSource::StandIn).await;
+            TurnCoordinator::Unassigned => {
+                return self.claim_locally(&claim, deadline, ClaimSource::Proxy).await;
             }
             TurnCoordinator::Peer(peer) => peer,
         };
         if self.coordinators.borrow().failed.contains(&peer) {
-            return self.claim_here(&claim, limit, ClaimSource::StandIn).await;
+            return self.claim_locally(&claim, deadline, ClaimSource::Proxy).await;
         }
-        // It goes on if the caller leaves meanwhile; what it was granted is then given back.
-        let keeper = self.clone();
-        let asked = actix_rt::spawn(async move { keeper.claim_by(&peer, &claim, limit).await });
-        asked.await.unwrap_or(Err(ClaimError::Doubtful(StoreError::ReplyLost)))
+        // Continues if the caller is dropped; the granted reservation is then released.
+        let manager = self.clone();
+        let claimed =
+            actix_rt::spawn(async move { manager.claim_via_peer(&peer, &claim, deadline).await });
+        claimed.await.unwrap_or(Err(ClaimError::Indeterminate(StoreError::ReplyLost)))
     }
 
-    async fn claim_by(
+    async fn claim_via_peer(
         self: &Rc<Self>,
         peer: &str,
         claim: &TurnClaim,
-        limit: Instant,
+        deadline: Instant,
     ) -> Result<ClaimedTurn, ClaimError> {
         let knows_chain = claim.scope == TurnScope::Tokens
             || claim.previous.as_ref().is_none_or(|turn| self.has_chain(turn));
-        let request = ClaimRequest { claim: claim.clone(), knows_chain, limit_ms: left_ms(limit) };
-        let source = match self.ask(peer, CLAIM_PATH, frame(&request, &[]), Duration::ZERO).await {
-            Ok((StatusCode::OK, body)) => match self.take_claim(peer, claim, &body).await {
+        let request =
+            ClaimRequest { claim: claim.clone(), knows_chain, limit_ms: remaining_ms(deadline) };
+        let source = match self
+            .call_peer(peer, CLAIM_PATH, frame(&request, &[]), Duration::ZERO)
+            .await
+        {
+            Ok((StatusCode::OK, body)) => match self.accept_claim_reply(peer, claim, &body).await {
                 Some(result) => return result,
-                None => ClaimSource::TakenOver,
+                None => ClaimSource::Takeover,
             },
-            Ok(_) | Err(PeerFailure::Unknown) => ClaimSource::TakenOver,
-            Err(PeerFailure::NotSent) => ClaimSource::StandIn,
+            Ok(_) | Err(PeerFailure::Unknown) => ClaimSource::Takeover,
+            Err(PeerFailure::NotSent) => ClaimSource::Proxy,
         };
         log::debug!("event=claim_taken_over turn={} peer={peer}", claim.turn);
-        self.claim_here(claim, limit, source).await
+        self.claim_locally(claim, deadline, source).await
     }
 
-    /// Reads a coordinator's reply; none if it makes no sense.
-    async fn take_claim(
+    /// Returns `None` if the reply is malformed.
+    async fn accept_claim_reply(
         self: &Rc<Self>,
         peer: &str,
         claim: &TurnClaim,
@@ -135,16 +131,16 @@
                 return Some(Err(ClaimError::Exhausted { committed }));
             }
         };
-        // Read whole before anything is held: a reply that makes no sense leaves the claim to be made
-        // here, under the reservation that the coordinator may have made.
-        let mut records_of = Vec::new();
+        // Decode everything before creating the reservation: after a malformed reply the claim is
+        // repeated locally and may find the coordinator's reservation.
+        let mut decoded = Vec::new();
         let mut start = 0;
         for turn in chain {
             let record = records.get(start..start + turn.bytes)?;
             start += turn.bytes;
-            records_of.push((turn, TurnRecord::decode(records.slice_ref(record)).ok()?));
+            decoded.push((turn, TurnRecord::decode(records.slice_ref(record)).ok()?));
         }
-        for (turn, record) in records_of {
+        for (turn, record) in decoded {
             self.cache.borrow_mut().insert(&turn.program, turn.turn, record.into());
         }
         let mut reservation = self.reservation(&claim.program, &claim.turn);
@@ -158,29 +154,30 @@
         Some(match chain {
             Ok(chain) => Ok(ClaimedTurn { chain, holder, reservation }),
             Err(ChainError::NoSuchTurn) => Err(ClaimError::NoSuchTurn),
-            Err(ChainError::Store(error)) => Err(ClaimError::Doubtful(error)),
+            Err(ChainError::Store(error)) => Err(ClaimError::Indeterminate(error)),
         })
     }
 
-    /// Asks a coordinator, which may take `extra` longer than its usual answer.
-    async fn ask(
+    /// Calls a coordinator. `extra_time` is added to the timeout for work that waits by design.
+    async fn call_peer(
         &self,
         peer: &str,
         path: &'static str,
         body: Bytes,
-        extra: Duration,
+        extra_time: Duration,
     ) -> Result<(StatusCode, Bytes), PeerFailure> {
-        let begun = Instant::now();
-        let usual = self.coordinators.borrow().latency;
-        let patience = extra + usual.scaled(PATIENCE_FACTOR, PATIENCE_MIN, PATIENCE_MAX);
-        let answer = self.pool.exchange(peer, Method::POST, path, body, patience).await;
+        let start = Instant::now();
+        let latency = self.coordinators.borrow().latency;
+        let timeout =
+            extra_time + latency.scaled(PEER_TIMEOUT_FACTOR, MIN_PEER_TIMEOUT, MAX_PEER_TIMEOUT);
+        let response = self.pool.exchange(peer, Method::POST, path, body, timeout).await;
         let mut coordinators = self.coordinators.borrow_mut();
-        match answer {
-            Ok(answer) => {
-                if extra.is_zero() {
-                    coordinators.latency.answered(begun);
+        match response {
+            Ok(response) => {
+                if extra_time.is_zero() {
+                    coordinators.latency.answered(start);
                 }
-                Ok(answer)
+                Ok(response)
             }
             Err(error) => {
                 coordinators.failed.note(peer);
@@ -195,28 +192,32 @@
         }
     }
 
-    /// Has a coordinator keep a turn; false if that is to be done here.
-    pub(super) async fn keep_by(
+    /// Returns false if the caller has to persist the turn itself.
+    pub(super) async fn persist_via_peer(
         &self,
         peer: &str,
         program: &ProgramName,
         turn: &TurnId,
         record: &TurnRecord,
-        limit: Instant,
+        deadline: Instant,
     ) -> bool {
         if self.coordinators.borrow().failed.contains(peer) {
             return false;
         }
-        let request =
-            KeepRequest { program: program.clone(), turn: turn.clone(), limit_ms: left_ms(limit) };
+        let request = PersistRequest {
+            program: program.clone(),
+            turn: turn.clone(),
+            limit_ms: remaining_ms(deadline),
+        };
         let body = frame(&request, &[&record.encode()]);
-        let answer = self.ask(peer, KEEP_PATH, body, SETTLE_PATIENCE).await;
-        matches!(answer, Ok((StatusCode::OK, _)))
+        let response = self.call_peer(peer, PERSIST_PATH, body, SETTLE_COMMIT_DELAY).await;
+        matches!(response, Ok((StatusCode::OK, _)))
     }
 
-    /// Has a coordinator settle a turn that leaves no record; false if that is to be done here.
-    pub(super) async fn settle_by(&self, peer: &str, end: &TurnEnd) -> bool {
-        let answer = self.ask(peer, SETTLE_PATH, frame(end, &[]), SETTLE_PATIENCE).await;
-        matches!(answer, Ok((StatusCode::OK, _)))
+    /// Returns false if the caller has to settle the turn itself.
+    pub(super) async fn settle_via_peer(&self, peer: &str, end: &TurnEnd) -> bool {
+        let response =
+            self.call_peer(peer, SETTLE_PATH, frame(end, &[]), SETTLE_COMMIT_DELAY).await;
+        matches!(response, Ok((StatusCode::OK, _)))
     }
 }
--- a/src/gateway/turns/mod.rs
+++ b/src/gateway/turns/mod.rs
@@ -1,4 +1,5 @@
-//! Keeps turns: reads chains, sets tokens aside before a turn runs, and writes what it became.
+//! Manages the turns of programs for the gateway: reads their chains, reserves tokens before a turn
+//! runs, and settles and stores it afterwards.
 
 mod allowances;
 mod chain;
@@ -35,122 +36,112 @@
 
 pub(crate) use self::chain::{ChainError, TurnChain};
 pub(crate) use self::claim::{ClaimError, ClaimedTurn, TurnClaim};
-pub(crate) use self::coordinate::{CLAIM_PATH, KEEP_PATH, SETTLE_PATH, TurnCoordinator};
-pub(crate) use self::rows::{LEDGER_KEY, TABLE, index_key, parse_turn_key, row_key};
+pub(crate) use self::coordinate::{CLAIM_PATH, PERSIST_PATH, SETTLE_PATH, TurnCoordinator};
+pub(crate) use self::rows::{LEDGER_KEY, PROGRAMS_TABLE, index_key, parse_turn_key, row_key};
 
-/// How long a reservation waits for other writes: not at all, as its turn has not begun; it takes along
-/// those that wait.
-const RESERVE_PATIENCE: Duration = Duration::ZERO;
-/// How long a settlement waits for other writes.
-const SETTLE_PATIENCE: Duration = Duration::from_millis(50);
-/// Pause before a write is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(40);
-/// How long a settlement that nobody waits for is tried.
-const BACKGROUND_LIMIT: Duration = Duration::from_secs(10);
-/// Longest key of the store is 200 bytes; the prefix and the piece's number need some.
+/// Zero, since the turn cannot start before its reservation is durable. Queued writes join its batch.
+const RESERVE_COMMIT_DELAY: Duration = Duration::ZERO;
+/// Lets settlements share a transaction with other writes.
+const SETTLE_COMMIT_DELAY: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(40);
+const BACKGROUND_SETTLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// The store limits keys to 200 bytes, of which the key prefix and the chunk number take a part.
 pub(crate) const MAX_NAME_BYTES: usize = 180;
 
-/// Why a turn may not run.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum ReserveError {
     Exhausted {
         committed: Tokens,
     },
-    /// What is known here of the program is out of date: it has expired and was removed.
+    /// The program was removed from the store after its retention; cached rows are stale.
     Expired,
     Store(StoreError),
 }
 
-/// What became of a conditional write of a ledger.
-enum LedgerReply {
+/// Result of a conditional write of a ledger.
+enum LedgerOutcome {
     Written,
-    /// Another write came first; its ledger is known now.
-    Changed,
-    /// The program has expired and was removed.
-    Gone,
+    /// Another write came first; the cache now holds its ledger.
+    Conflict,
+    /// The program was removed from the store after its retention.
+    Removed,
 }
 
-/// What programs have said, and what they have spent.
-pub(crate) struct TurnKeeper {
+pub(crate) struct TurnManager {
     store: Rc<StoreLink>,
     committer: Rc<StoreCommitter>,
     pool: Rc<ConnectionPool>,
     coordinators: RefCell<CoordinatorHealth>,
-    /// Reservations that wait for their program's ledger to be written; present while a task writes.
+    /// Reservations queued per program; an entry exists while a task writes the program's ledger.
     pending: RefCell<HashMap<ProgramName, Vec<PendingReservation>>>,
     cache: RefCell<TurnCache>,
     allowances: RefCell<ProgramAllowances>,
-    /// Largest value of a row, in bytes.
+    /// Maximum size of a row's value.
     row_bytes: usize,
-    /// Turns that hold or are getting a reservation.
     reservations: Cell<u64>,
 }
 
-/// Tokens set aside for a running turn. Dropped, it settles for what was passed on.
+/// Tokens reserved for a running turn. Dropping it settles the turn with the tokens sent so far.
 pub(crate) struct TurnReservation {
-    keeper: Rc<TurnKeeper>,
+    manager: Rc<TurnManager>,
     program: ProgramName,
     turn: TurnId,
     used: Tokens,
     settled: bool,
     scope: TurnScope,
-    /// Where it ran whole.
     ran_at: Option<PrefixHolder>,
-    /// The peer that claimed it for this instance.
+    /// Address of the peer that made the reservation for this instance.
     coordinator: Option<Box<str>>,
 }
 
 impl TurnReservation {
-    /// Counts tokens that are about to be passed on.
-    pub(crate) fn count(&mut self, tokens: Tokens) {
+    /// Must be called before the tokens are sent to the caller.
+    pub(crate) fn record_tokens(&mut self, tokens: Tokens) {
         self.used += tokens;
     }
 
-    /// Tokens passed on so far.
     pub(crate) fn used(&self) -> Tokens {
         self.used
     }
 
-    /// Notes where the turn ran whole, for those that follow it.
-    pub(crate) fn note_holder(&mut self, holder: PrefixHolder) {
+    /// Lets later turns be routed to the engine that holds this turn's prefix.
+    pub(crate) fn record_holder(&mut self, holder: PrefixHolder) {
         self.ran_at = Some(holder);
     }
 
-    /// Leaves the reservation to the peer it was made for.
-    fn hand_over(mut self) {
+    /// Leaves settlement to the peer for which the reservation was made.
+    fn transfer(mut self) {
         self.settled = true;
     }
 
-    /// Writes the turn, which also settles what it used; it is durable when this returns.
-    ///
-    /// The write goes on if the caller of this function is dropped.
-    pub(crate) async fn complete(mut self, record: TurnRecord, limit: Instant) -> bool {
+    /// Stores the turn's record, which also settles its tokens; true if it is durable. The write
+    /// continues if the returned future is dropped.
+    pub(crate) async fn complete(mut self, record: TurnRecord, deadline: Instant) -> bool {
         self.settled = true;
-        let keeper = self.keeper.clone();
+        let manager = self.manager.clone();
         let (program, turn) = (self.program.clone(), self.turn.clone());
         let coordinator = self.coordinator.take();
-        let keep = async move {
+        let persist = async move {
             if let Some(peer) = coordinator
-                && keeper.keep_by(&peer, &program, &turn, &record, limit).await
+                && manager.persist_via_peer(&peer, &program, &turn, &record, deadline).await
             {
-                keeper.cache.borrow_mut().insert(&program, turn, record.into());
+                manager.cache.borrow_mut().insert(&program, turn, record.into());
                 return true;
             }
-            keeper.record(&program, &turn, record, limit).await
+            manager.store_record(&program, &turn, record, deadline).await
         };
-        actix_rt::spawn(keep).await.unwrap_or(false)
+        actix_rt::spawn(persist).await.unwrap_or(false)
     }
 }
 
 impl Drop for TurnReservation {
-    /// A turn that leaves no record, as it broke off or its history is not kept: its unused tokens go
-    /// back to the program.
+    /// Releases the unused tokens of a turn without a record: it failed, or its history is not stored.
     fn drop(&mut self) {
-        self.keeper.reservations.set(self.keeper.reservations.get() - 1);
+        self.manager.reservations.set(self.manager.reservations.get() - 1);
         if self.settled {
             return;
         }
-        let keeper = self.keeper.clone();
+        let manager = self.manager.clone();
         let coordinator = self.coordinator.take();
         let end = TurnEnd {
             program: self.program.clone(),
@@ -161,21 +152,21 @@
         };
         actix_rt::spawn(async move {
             if let Some(peer) = coordinator
-                && keeper.settle_by(&peer, &end).await
+                && manager.settle_via_peer(&peer, &end).await
             {
                 return;
             }
             if end.scope == TurnScope::Tokens {
-                keeper.end_turn(&end);
+                manager.end_turn(&end);
                 return;
             }
-            let limit = Instant::now() + BACKGROUND_LIMIT;
-            keeper.settle(&end.program, &end.turn, end.used, limit).await;
+            let deadline = Instant::now() + BACKGROUND_SETTLE_TIMEOUT;
+            manager.settle(&end.program, &end.turn, end.used, deadline).await;
         });
     }
 }
 
-impl TurnKeeper {
+impl TurnManager {
     pub(crate) fn new(
         store: Rc<StoreLink>,
         committer: Rc<StoreCommitter>,
@@ -201,7 +192,7 @@
         self.cache.borrow().bytes()
     }
 
-    /// Turns of this instance that hold a reservation or wait for one.
+    /// Includes turns that wait for their reservation.
     pub(crate) fn reservations(&self) -> u64 {
         self.reservations.get()
     }
@@ -210,48 +201,48 @@
         self.cache.borrow().ledger(program).unwrap_or_default()
     }
 
-    /// Writes a ledger if it is still the version that was read, and notes what became of it.
+    /// Writes a ledger if the stored one still has `version`, and updates the cache.
     async fn write_ledger(
         &self,
         program: &ProgramName,
         version: RowVersion,
         ledger: ProgramLedger,
-        patience: Duration,
-    ) -> Result<LedgerReply, StoreError> {
+        max_delay: Duration,
+    ) -> Result<LedgerOutcome, StoreError> {
         let transaction = ledger_write(program, version, &ledger);
-        match self.committer.commit(transaction, patience).await? {
+        match self.committer.commit(transaction, max_delay).await? {
             CommitReply::Committed(version) => {
                 self.cache.borrow_mut().set_ledger(program, version, ledger);
-                Ok(LedgerReply::Written)
+                Ok(LedgerOutcome::Written)
             }
-            CommitReply::Conflict(rows) => match self.take_conflict(program, version, rows) {
-                true => Ok(LedgerReply::Gone),
-                false => Ok(LedgerReply::Changed),
+            CommitReply::Conflict(rows) => match self.cache_conflict(program, version, rows) {
+                true => Ok(LedgerOutcome::Removed),
+                false => Ok(LedgerOutcome::Conflict),
             },
         }
     }
 
-    /// When what is used now expires, by the store's clock.
-    fn kept_until(&self, retention: Duration) -> u64 {
+    /// In milliseconds of the store's clock.
+    fn retained_until(&self, retention: Duration) -> u64 {
         self.store.now_millis() + retention.as_millis() as u64
     }
 
-    /// Keeps another program's turns as long as those that go on from them.
-    async fn keep(
+    /// Retains another program's turns for as long as the turns that continue from them.
+    async fn extend_retention(
         &self,
         program: &ProgramName,
         retention: Duration,
-        limit: Instant,
+        deadline: Instant,
     ) -> Result<(), ReserveError> {
         loop {
             let (version, mut ledger) = self.ledger(program);
-            ledger.retain_until(self.kept_until(retention));
-            match self.write_ledger(program, version, ledger, RESERVE_PATIENCE).await {
-                Ok(LedgerReply::Written) => return Ok(()),
-                Ok(LedgerReply::Gone) => return Err(ReserveError::Expired),
-                Ok(LedgerReply::Changed) => {}
-                Err(StoreError::ReplyLost) if Instant::now() + RETRY_PAUSE < limit => {
-                    sleep(RETRY_PAUSE).await;
+            ledger.retain_until(self.retained_until(retention));
+            match self.write_ledger(program, version, ledger, RESERVE_COMMIT_DELAY).await {
+                Ok(LedgerOutcome::Written) => return Ok(()),
+                Ok(LedgerOutcome::Removed) => return Err(ReserveError::Expired),
+                Ok(LedgerOutcome::Conflict) => {}
+                Err(StoreError::ReplyLost) if Instant::now() + RETRY_DELAY < deadline => {
+                    sleep(RETRY_DELAY).await;
                 }
                 Err(error) => return Err(ReserveError::Store(error)),
             }
@@ -261,7 +252,7 @@
     fn reservation(self: &Rc<Self>, program: &ProgramName, turn: &TurnId) -> TurnReservation {
         self.reservations.set(self.reservations.get() + 1);
         TurnReservation {
-            keeper: self.clone(),
+            manager: self.clone(),
             program: program.clone(),
             turn: turn.clone(),
             used: 0,
@@ -272,27 +263,27 @@
         }
     }
 
-    /// Writes a turn's record; false if it could not be made durable before `limit`.
+    /// Writes a turn's record; false if it is not durable by the deadline.
     ///
-    /// The ledger is left alone: the record itself says what was used. A write of both would conflict
-    /// with each reservation of another turn of the program.
-    async fn record(
+    /// The record states the tokens used, so the ledger is not written: that write would conflict with
+    /// reservations of the program's other turns.
+    async fn store_record(
         &self,
         program: &ProgramName,
         turn: &TurnId,
         record: TurnRecord,
-        limit: Instant,
+        deadline: Instant,
     ) -> bool {
-        let puts = self.pieces(program, turn, &record);
+        let puts = self.record_puts(program, turn, &record);
         let first = puts.first().map(|(key, _)| (key.clone(), 0));
         let checks = first.into_iter().collect();
         let transaction = RowTransaction { checks, puts, removals: Vec::new() };
         loop {
-            match self.committer.commit(transaction.clone(), SETTLE_PATIENCE).await {
-                // In a conflict the row is there: an earlier try took effect, its reply was lost.
+            match self.committer.commit(transaction.clone(), SETTLE_COMMIT_DELAY).await {
+                // A conflict means that an earlier attempt was committed and its reply lost.
                 Ok(CommitReply::Committed(_) | CommitReply::Conflict(_)) => break,
                 Err(error) => {
-                    if self.pause_before_retry(limit).await {
+                    if self.wait_before_retry(deadline).await {
                         continue;
                     }
                     log::warn!(
@@ -307,18 +298,17 @@
         true
     }
 
-    /// Replaces the reservation of a turn that broke off by what was used.
-    async fn settle(&self, program: &ProgramName, turn: &TurnId, used: Tokens, limit: Instant) {
+    async fn settle(&self, program: &ProgramName, turn: &TurnId, used: Tokens, deadline: Instant) {
         loop {
             let (version, mut ledger) = self.ledger(program);
             ledger.settle(turn, used);
-            match self.write_ledger(program, version, ledger, SETTLE_PATIENCE).await {
-                Ok(LedgerReply::Written) => return,
-                // An earlier try took effect, and only its reply was lost.
+            match self.write_ledger(program, version, ledger, SETTLE_COMMIT_DELAY).await {
+                Ok(LedgerOutcome::Written) => return,
+                // An earlier attempt was committed and its reply lost.
                 Ok(_) if !self.ledger(program).1.is_reserved(turn) => return,
                 Ok(_) => {}
                 Err(error) => {
-                    if self.pause_before_retry(limit).await {
+                    if self.wait_before_retry(deadline).await {
                         continue;
                     }
                     log::warn!(
@@ -330,15 +320,15 @@
         }
     }
 
-    /// Waits before a write is tried again, while the store is away until it returns; false if the
-    /// limit leaves no time for that.
-    async fn pause_before_retry(&self, limit: Instant) -> bool {
-        if Instant::now() + RETRY_PAUSE >= limit {
+    /// Waits for the retry delay and for the store to be reachable; false if the deadline is too close
+    /// for another attempt.
+    async fn wait_before_retry(&self, deadline: Instant) -> bool {
+        if Instant::now() + RETRY_DELAY >= deadline {
             return false;
         }
-        sleep(RETRY_PAUSE).await;
-        // Not later than the caller gives up, though nothing is lost by trying on.
-        let _ = timeout_at(limit, self.store.reachable()).await;
+        sleep(RETRY_DELAY).await;
+        // On timeout the caller still makes a last attempt.
+        let _ = timeout_at(deadline, self.store.reachable()).await;
         true
     }
 }
--- a/src/gateway/turns/reserve.rs
+++ b/src/gateway/turns/reserve.rs
@@ -1,4 +1,4 @@
-//! Tokens set aside before a turn runs.
+//! Reserves the tokens of turns in their program's ledger before they run.
 
 use std::rc::Rc;
 
@@ -7,76 +7,73 @@
 
 use super::claim::{ClaimSource, TurnClaim};
 use super::{
-    LedgerReply, RESERVE_PATIENCE, RETRY_PAUSE, ReserveError, TurnKeeper, TurnReservation,
+    LedgerOutcome, RESERVE_COMMIT_DELAY, RETRY_DELAY, ReserveError, TurnManager, TurnReservation,
 };
 use crate::core::turns::{ProgramLedger, ProgramName, ReserveReply, TurnScope};
 use crate::node::platform::StoreError;
 
-/// What became of a reservation.
-struct ReservationEnd {
+struct ReservationOutcome {
     result: Result<(), ReserveError>,
-    /// Whether a write may take effect that was not seen to: the tokens must be taken back.
-    doubtful: bool,
+    /// A write may still be committed, so the tokens must be released.
+    is_indeterminate: bool,
 }
 
-/// A reservation that waits for its program's ledger.
 pub(super) struct PendingReservation {
     claim: TurnClaim,
-    limit: Instant,
-    /// Whether all that the store has of the program was read since its ledger last changed.
-    fresh: bool,
-    doubtful: bool,
-    /// Whether tokens of further turns are set aside too.
-    is_ahead: bool,
-    reply: oneshot::Sender<ReservationEnd>,
+    deadline: Instant,
+    /// All rows of the program were read since its ledger last changed.
+    is_loaded: bool,
+    is_indeterminate: bool,
+    preallocates: bool,
+    reply: oneshot::Sender<ReservationOutcome>,
 }
 
 impl PendingReservation {
-    fn end(self, result: Result<(), ReserveError>) {
-        // Whoever no longer waits takes back what may stand.
-        let _ = self.reply.send(ReservationEnd { result, doubtful: self.doubtful });
+    fn finish(self, result: Result<(), ReserveError>) {
+        // A caller that no longer waits releases the reservation on drop.
+        let _ =
+            self.reply.send(ReservationOutcome { result, is_indeterminate: self.is_indeterminate });
     }
 }
 
-impl TurnKeeper {
-    /// Sets a turn's most tokens aside, durably, before it runs.
+impl TurnManager {
+    /// Reserves a turn's maximum number of tokens durably.
     ///
-    /// A lost reply is no refusal and no grant: the same write is tried again, and finds the
-    /// reservation if the first one took effect. A reservation that is given up, or whose caller
-    /// leaves, while its write may still take effect is taken back: any write of the ledger voids the
-    /// condition of the one on its way. Left alone, it would end the program's budget too soon.
+    /// If a reply is lost, the write is retried and finds the reservation if the first attempt was
+    /// committed. A reservation that fails or is dropped while its write is in flight is released by
+    /// another write of the ledger, which voids the condition of the first.
     ///
-    /// Reservations of one program that come while its ledger is being written go together in the
-    /// next write; each by itself, sub-agents that start at once would conflict with one another.
+    /// Reservations that arrive while their program's ledger is being written share the next write, so
+    /// that sub-agents that start at once do not conflict with one another.
     pub(super) async fn reserve(
         self: &Rc<Self>,
         claim: &TurnClaim,
-        limit: Instant,
+        deadline: Instant,
         source: ClaimSource,
-        held: &mut TurnReservation,
+        reservation: &mut TurnReservation,
     ) -> Result<(), ReserveError> {
-        let (reply, ended) = oneshot::channel();
-        let doubtful = !held.settled;
+        let (reply, outcome_receiver) = oneshot::channel();
+        let is_indeterminate = !reservation.settled;
         let pending = PendingReservation {
             claim: claim.clone(),
-            limit,
-            fresh: false,
-            doubtful,
-            is_ahead: matches!(source, ClaimSource::Own | ClaimSource::Peer),
+            deadline,
+            is_loaded: false,
+            is_indeterminate,
+            preallocates: matches!(source, ClaimSource::Coordinator | ClaimSource::Peer),
             reply,
         };
-        // A caller that leaves while this is under way drops what is held.
-        held.settled = false;
+        // If the caller is dropped while this waits, the reservation is released.
+        reservation.settled = false;
         self.enqueue(pending);
-        let unknown = ReservationEnd {
+        let unknown = ReservationOutcome {
             result: Err(ReserveError::Store(StoreError::ReplyLost)),
-            doubtful: true,
+            is_indeterminate: true,
         };
-        let end = ended.await.unwrap_or(unknown);
-        if end.result.is_err() {
-            held.settled = !end.doubtful || source == ClaimSource::Peer;
+        let outcome = outcome_receiver.await.unwrap_or(unknown);
+        if outcome.result.is_err() {
+            reservation.settled = !outcome.is_indeterminate || source == ClaimSource::Peer;
         }
-        end.result
+        outcome.result
     }
 
     fn enqueue(self: &Rc<Self>, pending: PendingReservation) {
@@ -91,20 +88,18 @@
         }
     }
 
-    /// Writes a program's ledger until no reservation of it waits.
     async fn write_reservations(self: Rc<Self>, program: ProgramName) {
         while let Some(group) = self.take_pending(&program) {
-            let left = self.reserve_group(&program, group).await;
+            let remaining = self.reserve_group(&program, group).await;
             let mut groups = self.pending.borrow_mut();
-            groups.entry(program.clone()).or_default().extend(left);
+            groups.entry(program.clone()).or_default().extend(remaining);
         }
     }
 
-    /// The reservations that wait; none if there are none, after which the next one starts anew.
+    /// Takes the program's queue. If it is empty, removes its entry and returns `None`.
     fn take_pending(&self, program: &ProgramName) -> Option<Vec<PendingReservation>> {
         let mut groups = self.pending.borrow_mut();
         let mut waiting = std::mem::take(groups.get_mut(program)?);
-        // Callers that have left; nothing of theirs is to be set aside any more.
         waiting.retain(|pending| !pending.reply.is_closed());
         if waiting.is_empty() {
             groups.remove(program);
@@ -113,126 +108,132 @@
         Some(waiting)
     }
 
-    /// One write for a group; those for which it has to be tried again.
+    /// Reserves for a group in one write. Returns the reservations to retry.
     async fn reserve_group(
         &self,
         program: &ProgramName,
         group: Vec<PendingReservation>,
     ) -> Vec<PendingReservation> {
         let (version, mut ledger) = self.ledger(program);
-        let (granted, short) = self.fill(&mut ledger, group);
-        let mut left = self.look_again(program, short).await;
+        let (granted, insufficient) = self.reserve_in_ledger(&mut ledger, group);
+        let mut remaining = self.reload_program(program, insufficient).await;
         if granted.is_empty() {
-            return left;
+            return remaining;
         }
-        let reply = self.write_ledger(program, version, ledger, RESERVE_PATIENCE).await;
-        if !matches!(reply, Ok(LedgerReply::Written)) {
-            granted.iter().for_each(|pending| self.take_back(&pending.claim));
+        let reply = self.write_ledger(program, version, ledger, RESERVE_COMMIT_DELAY).await;
+        if !matches!(reply, Ok(LedgerOutcome::Written)) {
+            granted.iter().for_each(|pending| self.undo_allowance_start(&pending.claim));
         }
         match reply {
-            Ok(LedgerReply::Written) => granted.into_iter().for_each(|pending| pending.end(Ok(()))),
-            Ok(LedgerReply::Gone) => {
+            Ok(LedgerOutcome::Written) => {
+                granted.into_iter().for_each(|pending| pending.finish(Ok(())))
+            }
+            Ok(LedgerOutcome::Removed) => {
                 for mut pending in granted {
-                    pending.doubtful = false;
-                    pending.end(Err(ReserveError::Expired));
+                    pending.is_indeterminate = false;
+                    pending.finish(Err(ReserveError::Expired));
                 }
             }
-            Ok(LedgerReply::Changed) => left.extend(self.after_conflict(program, granted)),
+            Ok(LedgerOutcome::Conflict) => {
+                remaining.extend(self.resolve_conflict(program, granted))
+            }
             Err(StoreError::Unavailable) => {
                 for pending in granted {
-                    pending.end(Err(ReserveError::Store(StoreError::Unavailable)));
+                    pending.finish(Err(ReserveError::Store(StoreError::Unavailable)));
                 }
             }
-            Err(error) => left.extend(after_loss(granted, &error).await),
+            Err(error) => remaining.extend(retry_after_lost_reply(granted, &error).await),
         }
-        left
+        remaining
     }
 
-    /// Sets aside in a ledger what it has room for; those it has and those it has not.
-    fn fill(
+    /// Returns the reservations added to `ledger`, and those that it has no capacity for.
+    fn reserve_in_ledger(
         &self,
         ledger: &mut ProgramLedger,
         group: Vec<PendingReservation>,
     ) -> (Vec<PendingReservation>, Vec<PendingReservation>) {
-        let (mut granted, mut short) = (Vec::new(), Vec::new());
+        let (mut granted, mut insufficient) = (Vec::new(), Vec::new());
         for pending in group {
             let claim = &pending.claim;
             let reply = match claim.scope {
                 TurnScope::History => ledger.reserve(&claim.turn, claim.most, claim.budget),
-                TurnScope::Tokens => self.extend_allowance(ledger, claim, pending.is_ahead),
+                TurnScope::Tokens => self.extend_allowance(ledger, claim, pending.preallocates),
             };
             match reply {
                 ReserveReply::Reserved => {
-                    ledger.retain_until(self.kept_until(claim.kept_for()));
+                    ledger.retain_until(self.retained_until(claim.ledger_retention()));
                     granted.push(pending);
                 }
-                ReserveReply::Exhausted { committed, permanent } if pending.fresh || permanent => {
-                    pending.end(Err(ReserveError::Exhausted { committed }));
+                ReserveReply::Exhausted { committed, permanent }
+                    if pending.is_loaded || permanent =>
+                {
+                    pending.finish(Err(ReserveError::Exhausted { committed }));
                 }
-                ReserveReply::Exhausted { .. } => short.push(pending),
+                ReserveReply::Exhausted { .. } => insufficient.push(pending),
             }
         }
-        (granted, short)
+        (granted, insufficient)
     }
 
-    /// Reads the program anew for those whom its known state has no room for: turns of other
+    /// Reloads the program for reservations that do not fit the cached ledger: turns of other
     /// instances may have ended since.
-    async fn look_again(
+    async fn reload_program(
         &self,
         program: &ProgramName,
-        mut short: Vec<PendingReservation>,
+        mut insufficient: Vec<PendingReservation>,
     ) -> Vec<PendingReservation> {
-        if short.is_empty() {
-            return short;
+        if insufficient.is_empty() {
+            return insufficient;
         }
         if let Err(error) = self.load(program).await {
-            for pending in short {
-                pending.end(Err(ReserveError::Store(error.clone())));
+            for pending in insufficient {
+                pending.finish(Err(ReserveError::Store(error.clone())));
             }
             return Vec::new();
         }
-        short.iter_mut().for_each(|pending| pending.fresh = true);
-        short
+        insufficient.iter_mut().for_each(|pending| pending.is_loaded = true);
+        insufficient
     }
 
-    /// Another write came first. An earlier try of ours may have been it; else nothing stands, and no
-    /// write still on its way can meet its condition.
-    fn after_conflict(
+    /// The conflicting write may be an earlier attempt of this group. If not, nothing is reserved, and
+    /// the condition of a write in flight can no longer hold.
+    fn resolve_conflict(
         &self,
         program: &ProgramName,
         group: Vec<PendingReservation>,
     ) -> Vec<PendingReservation> {
         let (_, ledger) = self.ledger(program);
-        let mut left = Vec::new();
+        let mut remaining = Vec::new();
         for mut pending in group {
             if ledger.is_reserved(&pending.claim.turn) {
-                pending.end(Ok(()));
+                pending.finish(Ok(()));
                 continue;
             }
-            pending.doubtful = false;
-            // The ledger is new, the records that settle its open turns may not be known: taken for
-            // all, a program is told that its budget is spent when it is not.
-            pending.fresh = false;
-            left.push(pending);
+            pending.is_indeterminate = false;
+            // Records that settle turns of the new ledger may not be loaded. Without them the budget
+            // would seem exhausted too early.
+            pending.is_loaded = false;
+            remaining.push(pending);
         }
-        left
+        remaining
     }
 }
 
-/// A write's reply is missing: those that have time left try again.
-async fn after_loss(
+/// Returns the reservations that have time for another attempt, after the retry delay.
+async fn retry_after_lost_reply(
     mut group: Vec<PendingReservation>,
     error: &StoreError,
 ) -> Vec<PendingReservation> {
-    group.iter_mut().for_each(|pending| pending.doubtful = true);
-    let again = Instant::now() + RETRY_PAUSE;
-    let (left, late): (Vec<_>, Vec<_>) =
-        group.into_iter().partition(|pending| again < pending.limit);
-    for pending in late {
-        pending.end(Err(ReserveError::Store(error.clone())));
+    group.iter_mut().for_each(|pending| pending.is_indeterminate = true);
+    let retry_at = Instant::now() + RETRY_DELAY;
+    let (remaining, expired): (Vec<_>, Vec<_>) =
+        group.into_iter().partition(|pending| retry_at < pending.deadline);
+    for pending in expired {
+        pending.finish(Err(ReserveError::Store(error.clone())));
     }
-    if !left.is_empty() {
-        sleep(RETRY_PAUSE).await;
+    if !remaining.is_empty() {
+        sleep(RETRY_DELAY).await;
     }
-    left
+    remaining
 }
