--- a/src/gateway/attempt/mod.rs
+++ b/src/gateway/attempt/mod.rs
@@ -2,7 +2,7 @@
 
 mod exchange;
 mod guard;
-mod tried;
+mod progress;
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 use exchange::{error_word, exchange};
 pub(crate) use guard::AttemptGuard;
-pub(crate) use tried::AttemptLog;
+pub(crate) use progress::AttemptProgress;
 
 use super::Gateway;
 use super::call::CallContext;
@@ -78,9 +78,9 @@
     pub(crate) async fn attempt(
         self: &Rc<Self>,
         call: &CallContext,
-        log: &AttemptLog,
+        progress: &AttemptProgress,
     ) -> Result<UpstreamAnswer, Refusal> {
-        self.attempt_from(call, None, &mut Vec::new(), log).await
+        self.attempt_from(call, None, &mut Vec::new(), progress).await
     }
 
     /// Finds an answer for a stream that an upstream broke off.
@@ -88,11 +88,11 @@
         self: &Rc<Self>,
         call: &CallContext,
         broken: &UpstreamChoice,
-        log: &AttemptLog,
+        progress: &AttemptProgress,
     ) -> Result<UpstreamAnswer, Refusal> {
         let mut tried = Vec::new();
-        let pinned = self.after_loss(call, broken, &mut tried, log)?;
-        self.attempt_from(call, pinned, &mut tried, log).await
+        let pinned = self.after_loss(call, broken, &mut tried, progress)?;
+        self.attempt_from(call, pinned, &mut tried, progress).await
     }
 
     /// The upstream that a request must be sent to again; none if any untried one will do.
@@ -101,15 +101,15 @@
         call: &CallContext,
         lost: &UpstreamChoice,
         tried: &mut Vec<UpstreamId>,
-        log: &AttemptLog,
+        progress: &AttemptProgress,
     ) -> Result<Option<UpstreamChoice>, Refusal> {
-        match self.rerun_place(call, log) {
+        match self.rerun_place(call, progress) {
             RerunPlace::Elsewhere => {
                 tried.push(lost.id.clone());
                 Ok(None)
             }
             RerunPlace::Same => {
-                log.reruns.set(log.reruns.get() + 1);
+                progress.reruns.set(progress.reruns.get() + 1);
                 Ok(Some(lost.clone()))
             }
             RerunPlace::Nowhere => Err(Refusal::unknown(StatusCode::BAD_GATEWAY, "answer_lost")),
@@ -117,19 +117,19 @@
     }
 
     /// A route bounds how many upstreams run a request; those that have ended since do not count.
-    fn rerun_place(&self, call: &CallContext, log: &AttemptLog) -> RerunPlace {
+    fn rerun_place(&self, call: &CallContext, progress: &AttemptProgress) -> RerunPlace {
         if !call.route.is_idempotent() || Instant::now() >= call.deadline {
             return RerunPlace::Nowhere;
         }
         let upstreams = self.news.upstreams.borrow();
-        let engines = log.engines.borrow();
+        let engines = progress.engines.borrow();
         let running = engines
             .iter()
             .filter(|engine| upstreams.has_incarnation(&engine.id, engine.started_at))
             .count();
         if running < call.route.max_attempts as usize {
             RerunPlace::Elsewhere
-        } else if call.route.is_resumable && log.reruns.get() < MAX_RERUNS {
+        } else if call.route.is_resumable && progress.reruns.get() < MAX_RERUNS {
             RerunPlace::Same
         } else {
             RerunPlace::Nowhere
@@ -141,25 +141,25 @@
         call: &CallContext,
         mut pinned: Option<UpstreamChoice>,
         tried: &mut Vec<UpstreamId>,
-        log: &AttemptLog,
+        progress: &AttemptProgress,
     ) -> Result<UpstreamAnswer, Refusal> {
         let patience = call.arrived + call.route.objective / PATIENCE_SHARE;
         loop {
             let is_pinned = pinned.is_some();
             let Some(choice) = pinned.take().or_else(|| self.choose(call, tried)) else {
                 if tried.is_empty() {
-                    return Err(no_answer(log, "no_upstream", NOBODY_RETRY));
+                    return Err(no_answer(progress, "no_upstream", NOBODY_RETRY));
                 }
                 if Instant::now() + FULL_PAUSE >= patience || tried.len() >= MAX_UNRUN {
-                    return Err(no_answer(log, "upstreams_full", FULL_RETRY));
+                    return Err(no_answer(progress, "upstreams_full", FULL_RETRY));
                 }
                 sleep(FULL_PAUSE).await;
                 tried.clear();
                 continue;
             };
-            log.tries.set(log.tries.get() + 1);
-            match self.attempt_at(call, &choice, log).await {
-                Ok(answer) if self.wants_another(call, &answer, log) => {
+            progress.tries.set(progress.tries.get() + 1);
+            match self.attempt_at(call, &choice, progress).await {
+                Ok(answer) if self.wants_another(call, &answer, progress) => {
                     answer.guard.record(AttemptResult::Broken);
                     tried.push(choice.id);
                 }
@@ -171,15 +171,15 @@
                         choice.id
                     );
                     if result == AttemptResult::Unreachable {
-                        log.note_gone(&choice);
+                        progress.note_gone(&choice);
                     } else if is_pinned {
                         sleep(FULL_PAUSE).await;
-                        pinned = self.after_loss(call, &choice, tried, log)?;
+                        pinned = self.after_loss(call, &choice, tried, progress)?;
                         continue;
                     }
                     tried.push(choice.id);
                     if tried.len() >= MAX_UNRUN {
-                        return Err(no_answer(log, "upstreams_full", FULL_RETRY));
+                        return Err(no_answer(progress, "upstreams_full", FULL_RETRY));
                     }
                 }
                 Err(AttemptError::Unknown(cause)) => {
@@ -187,18 +187,23 @@
                         "event=attempt_unknown request={} upstream={} runs={} cause=\"{cause}\"",
                         call.id,
                         choice.id,
-                        log.runs.get()
+                        progress.runs.get()
                     );
-                    pinned = self.after_loss(call, &choice, tried, log)?;
+                    pinned = self.after_loss(call, &choice, tried, progress)?;
                 }
             }
         }
     }
 
     /// Whether a failure that an upstream answered should be tried elsewhere instead.
-    fn wants_another(&self, call: &CallContext, answer: &UpstreamAnswer, log: &AttemptLog) -> bool {
+    fn wants_another(
+        &self,
+        call: &CallContext,
+        answer: &UpstreamAnswer,
+        progress: &AttemptProgress,
+    ) -> bool {
         answer.head.status.is_server_error()
-            && matches!(self.rerun_place(call, log), RerunPlace::Elsewhere)
+            && matches!(self.rerun_place(call, progress), RerunPlace::Elsewhere)
     }
 
     fn choose(&self, call: &CallContext, tried: &[UpstreamId]) -> Option<UpstreamChoice> {
@@ -221,31 +226,31 @@
         self: &Rc<Self>,
         call: &CallContext,
         choice: &UpstreamChoice,
-        log: &AttemptLog,
+        progress: &AttemptProgress,
     ) -> Result<UpstreamAnswer, AttemptError> {
         let guard = AttemptGuard::new(self, call, choice);
-        let connection = self.pool.get_proven(&choice.address, log.unreached.get()).await;
+        let connection = self.pool.get_proven(&choice.address, progress.unreached.get()).await;
         let mut connection = connection.map_err(|error| {
             log::debug!("event=connect_failed upstream={} error=\"{error}\"", choice.id);
-            log.unreached.set(log.unreached.get() + 1);
+            progress.unreached.set(progress.unreached.get() + 1);
             guard.record(AttemptResult::Unreachable);
             AttemptError::NotRun(AttemptResult::Unreachable)
         })?;
         let sent_at = Instant::now();
-        let head = self.attempt_head(call, choice, log);
-        log.exposed.set(true);
-        let waited = log.sent_after.get().unwrap_or_else(|| call.arrived.elapsed());
-        log.sent_after.set(Some(waited));
+        let head = self.attempt_head(call, choice, progress);
+        progress.exposed.set(true);
+        let waited = progress.sent_after.get().unwrap_or_else(|| call.arrived.elapsed());
+        progress.sent_after.set(Some(waited));
         let exchange = exchange(self, &mut connection, call, head).await;
         let (head, info) = exchange.map_err(|error| {
             guard.record(AttemptResult::Broken);
-            log.note_run(choice);
+            progress.note_run(choice);
             log::debug!("event=answer_lost upstream={} error=\"{error}\"", choice.id);
             AttemptError::Unknown(error_word(&error))
         })?;
         let misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
         if info.not_run || misdirected {
-            log.exposed.set(false);
+            progress.exposed.set(false);
             let result = if misdirected { AttemptResult::Unreachable } else { AttemptResult::Full };
             guard.record(result);
             if connection.rest(MAX_FOREIGN_BODY).await.is_ok() {
@@ -253,7 +258,7 @@
             }
             return Err(AttemptError::NotRun(result));
         }
-        log.note_run(choice);
+        progress.note_run(choice);
         let body = self.whole_body(call, &mut connection).await.map_err(|error| {
             guard.record(AttemptResult::Broken);
             AttemptError::Unknown(error_word(&error))
@@ -278,14 +283,14 @@
         &self,
         call: &CallContext,
         choice: &UpstreamChoice,
-        log: &AttemptLog,
+        progress: &AttemptProgress,
     ) -> RequestHead {
         let attempt = AttemptHead {
             expect: choice.id.clone(),
             deadline: call.deadline.saturating_duration_since(Instant::now()),
             priority: call.priority,
             workspace: call.workspace.as_ref().map(|workspace| workspace.name.clone()),
-            last_event: log.last_event.borrow().clone(),
+            last_event: progress.last_event.borrow().clone(),
         };
         let mut head = RequestHead::default();
         head.method = call.method.clone();
@@ -296,8 +301,8 @@
 }
 
 /// The end of a request that no upstream is left for: only what has surely not run is said not to.
-fn no_answer(log: &AttemptLog, reason: &'static str, retry: Duration) -> Refusal {
-    if log.may_have_run() {
+fn no_answer(progress: &AttemptProgress, reason: &'static str, retry: Duration) -> Refusal {
+    if progress.may_have_run() {
         return Refusal::unknown(StatusCode::BAD_GATEWAY, "answer_lost");
     }
     Refusal::not_run(reason, retry)
--- a/src/gateway/attempt/tried.rs
+++ b/src/gateway/attempt/progress.rs
@@ -9,7 +9,7 @@
 
 /// What has been tried for a request.
 #[derive(Default)]
-pub(crate) struct AttemptLog {
+pub(crate) struct AttemptProgress {
     /// Upstreams to which bytes of the request went and that did not deny running it.
     pub(crate) runs: Cell<u32>,
     pub(crate) tries: Cell<u32>,
@@ -44,7 +44,7 @@
     }
 }
 
-impl AttemptLog {
+impl AttemptProgress {
     /// Whether an upstream may have run the request.
     pub(crate) fn may_have_run(&self) -> bool {
         self.exposed.get() || self.runs.get() > 0
--- a/src/gateway/call/mod.rs
+++ b/src/gateway/call/mod.rs
@@ -16,7 +16,7 @@
 
 use self::turn::TurnWork;
 use super::Gateway;
-use super::attempt::AttemptLog;
+use super::attempt::AttemptProgress;
 use super::dialect::CallHead;
 use super::http::{CallerReader, CallerRequest, CallerWriter};
 use super::metrics::CallSample;
@@ -97,25 +97,25 @@
                 return self.refuse_unrouted(&id, &method, &refusal, arrived, writer).await;
             }
         };
-        let log = AttemptLog::default();
+        let progress = AttemptProgress::default();
         let end = tokio::select! {
             biased;
             () = reader.closed() => CallEnd::cut("caller_left", None),
-            end = self.run_call(&mut call, &log, writer) => end,
+            end = self.run_call(&mut call, &progress, writer) => end,
         };
-        self.note_end(&call, &end, &log);
+        self.note_end(&call, &end, &progress);
         end.keep
     }
 
-    fn note_end(&self, call: &CallContext, end: &CallEnd, log: &AttemptLog) {
+    fn note_end(&self, call: &CallContext, end: &CallEnd, progress: &AttemptProgress) {
         let elapsed = call.arrived.elapsed();
         let sample = CallSample {
             route: &call.route.name,
             outcome: end.outcome,
             elapsed,
             first: end.first,
-            tries: log.tries.get(),
-            sent_after: log.sent_after.get(),
+            tries: progress.tries.get(),
+            sent_after: progress.sent_after.get(),
         };
         self.metrics.call_ended(&sample);
         log::info!(
@@ -129,11 +129,11 @@
             end.outcome,
             end.status,
             end.upstream.as_deref().unwrap_or("-"),
-            log.tries.get(),
-            log.runs.get(),
-            log.coordinator.borrow().as_deref().unwrap_or("-"),
-            log.claimed_after.get().map_or(0, |waited| waited.as_millis()),
-            log.sent_after.get().map_or(0, |waited| waited.as_millis()),
+            progress.tries.get(),
+            progress.runs.get(),
+            progress.coordinator.borrow().as_deref().unwrap_or("-"),
+            progress.claimed_after.get().map_or(0, |waited| waited.as_millis()),
+            progress.sent_after.get().map_or(0, |waited| waited.as_millis()),
             end.first.map_or(0, |first| first.as_millis()),
             elapsed.as_millis(),
             call.workspace_name(),
@@ -175,15 +175,15 @@
     async fn run_call(
         self: &Rc<Self>,
         call: &mut CallContext,
-        log: &AttemptLog,
+        progress: &AttemptProgress,
         writer: &mut CallerWriter,
     ) -> CallEnd {
         let place = match self.take_place(call).await {
             Ok(place) => place,
             Err(refusal) => return self.end_refused(&refusal, writer).await,
         };
-        let end = self.run_admitted(call, log, writer).await;
-        place.settle(log);
+        let end = self.run_admitted(call, progress, writer).await;
+        place.settle(progress);
         end
     }
 
@@ -191,14 +191,14 @@
     async fn run_admitted(
         self: &Rc<Self>,
         call: &mut CallContext,
-        log: &AttemptLog,
+        progress: &AttemptProgress,
         writer: &mut CallerWriter,
     ) -> CallEnd {
         let Some(scope) = call.scope else {
-            return self.send_on(call, None, log, writer).await;
+            return self.send_on(call, None, progress, writer).await;
         };
-        match timeout_at(call.deadline, self.prepare_turn(call, scope, log)).await {
-            Ok(Ok(turn)) => self.send_on(call, Some(turn), log, writer).await,
+        match timeout_at(call.deadline, self.prepare_turn(call, scope, progress)).await {
+            Ok(Ok(turn)) => self.send_on(call, Some(turn), progress, writer).await,
             Ok(Err(refusal)) => self.end_refused(&refusal, writer).await,
             Err(_) => {
                 let refusal = Refusal::not_run("store_slow", DEADLINE_RETRY);
@@ -219,14 +219,14 @@
         self: &Rc<Self>,
         call: &CallContext,
         turn: Option<TurnWork>,
-        log: &AttemptLog,
+        progress: &AttemptProgress,
         writer: &mut CallerWriter,
     ) -> CallEnd {
-        let answer = match timeout_at(call.deadline, self.attempt(call, log)).await {
+        let answer = match timeout_at(call.deadline, self.attempt(call, progress)).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(refusal)) => return self.end_refused(&refusal, writer).await,
             Err(_) => {
-                let refusal = if log.may_have_run() {
+                let refusal = if progress.may_have_run() {
                     Refusal::unknown(StatusCode::GATEWAY_TIMEOUT, "deadline")
                 } else {
                     Refusal::not_run("deadline_unrun", DEADLINE_RETRY)
@@ -235,7 +235,7 @@
             }
         };
         let upstream = answer.choice.id.clone();
-        let relay = self.relay(call, answer, turn, log, writer);
+        let relay = self.relay(call, answer, turn, progress, writer);
         match timeout_at(call.deadline, relay).await {
             Ok(end) => end,
             Err(_) => CallEnd::cut("deadline_midway", Some(upstream)),
--- a/src/gateway/call/quota.rs
+++ b/src/gateway/call/quota.rs
@@ -8,7 +8,7 @@
 use crate::core::quotas::QuotaRequest;
 use crate::core::turns::TurnScope;
 use crate::gateway::Gateway;
-use crate::gateway::attempt::AttemptLog;
+use crate::gateway::attempt::AttemptProgress;
 use crate::gateway::quotas::{QuotaKeeper, QuotaOutcome, QuotaPlace};
 use crate::gateway::refusal::Refusal;
 
@@ -20,8 +20,8 @@
 
 impl CallPlace {
     /// Gives the place back if no upstream has run the call: only what runs counts.
-    pub(super) fn settle(mut self, log: &AttemptLog) {
-        let unrun = !log.may_have_run();
+    pub(super) fn settle(mut self, progress: &AttemptProgress) {
+        let unrun = !progress.may_have_run();
         if let Some(place) = self.place.take().filter(|_| unrun) {
             self.quotas.give_back(place);
         }
--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -13,7 +13,7 @@
 use super::{CallContext, CallEnd};
 use crate::core::ids::UpstreamId;
 use crate::core::upstreams::AttemptResult;
-use crate::gateway::attempt::{AttemptLog, UpstreamAnswer};
+use crate::gateway::attempt::{AttemptProgress, UpstreamAnswer};
 use crate::gateway::events::{EventParser, WholeEvents};
 use crate::gateway::http::{AnswerError, CallerWriter};
 use crate::gateway::refusal::Refusal;
@@ -75,7 +75,7 @@
         call: &CallContext,
         mut answer: UpstreamAnswer,
         mut turn: Option<TurnWork>,
-        log: &AttemptLog,
+        progress: &AttemptProgress,
         writer: &mut CallerWriter,
     ) -> CallEnd {
         let mut state = RelayState::new(call, &answer);
@@ -90,7 +90,7 @@
                 }
                 Err(RelayError::Broken(error)) => error,
             };
-            answer = match self.resume(call, answer, &error, &mut state, log, writer).await {
+            answer = match self.resume(call, answer, &error, &mut state, progress, writer).await {
                 Ok(next) => next,
                 Err(upstream) => return self.end_broken(upstream, writer).await,
             };
@@ -153,7 +153,7 @@
         broken: UpstreamAnswer,
         error: &AnswerError,
         state: &mut RelayState,
-        log: &AttemptLog,
+        progress: &AttemptProgress,
         writer: &mut CallerWriter,
     ) -> Result<UpstreamAnswer, UpstreamId> {
         broken.guard.record(AttemptResult::Broken);
@@ -173,8 +173,8 @@
             return Err(choice.id);
         }
         state.restart();
-        log.last_event.replace(last.clone());
-        let next = self.attempt_again(call, &choice, log).await.map_err(|refusal| {
+        progress.last_event.replace(last.clone());
+        let next = self.attempt_again(call, &choice, progress).await.map_err(|refusal| {
             log::info!("event=stream_not_resumed request={} reason={}", call.id, refusal.reason);
             choice.id.clone()
         })?;
--- a/src/gateway/call/turn.rs
+++ b/src/gateway/call/turn.rs
@@ -15,7 +15,7 @@
 };
 use crate::core::upstreams::UpstreamChoice;
 use crate::core::workspaces::qualified_name;
-use crate::gateway::attempt::{AttemptLog, chain_body};
+use crate::gateway::attempt::{AttemptProgress, chain_body};
 use crate::gateway::events::EventParser;
 use crate::gateway::refusal::Refusal;
 use crate::gateway::turns::{
@@ -78,7 +78,7 @@
         self: &Rc<Self>,
         call: &mut CallContext,
         scope: TurnScope,
-        log: &AttemptLog,
+        progress: &AttemptProgress,
     ) -> Result<TurnWork, Refusal> {
         let bad = |reason| Refusal::rejected(StatusCode::BAD_REQUEST, reason);
         let names = TurnNames::of(call).ok_or_else(|| bad("no_program"))?;
@@ -95,10 +95,11 @@
         }
         // Only the coordinator knows whether a turn without a history is its program's first.
         let claim = self.turn_claim(call, &names, scope, is_shut);
-        let claimed = self.claim_turn(call, claim, log).await.map_err(|error| match error {
-            ClaimError::NotAdmitted => turned_away(call, &names.program, reply),
-            error => self.claim_refusal(call, &names.program, error),
-        })?;
+        let claimed =
+            self.claim_turn(call, claim, progress).await.map_err(|error| match error {
+                ClaimError::NotAdmitted => turned_away(call, &names.program, reply),
+                error => self.claim_refusal(call, &names.program, error),
+            })?;
         let ClaimedTurn { chain, holder, reservation } = claimed;
         let input = call.body.clone();
         match scope {
@@ -173,15 +174,15 @@
         &self,
         call: &CallContext,
         claim: TurnClaim,
-        log: &AttemptLog,
+        progress: &AttemptProgress,
     ) -> Result<ClaimedTurn, ClaimError> {
         let limit = call.deadline - RESERVE_MARGIN.min(call.route.timeout);
         let coordinator = self.coordinator(&claim.program);
         if let TurnCoordinator::Peer(peer) = &coordinator {
-            log.coordinator.replace(Some(peer.clone()));
+            progress.coordinator.replace(Some(peer.clone()));
         }
         let claimed = self.claim_through_outage(call, coordinator, claim, limit).await;
-        log.claimed_after.set(Some(call.arrived.elapsed()));
+        progress.claimed_after.set(Some(call.arrived.elapsed()));
         self.metrics.reserved(match &claimed {
             Ok(_) => "reserved",
             Err(ClaimError::Exhausted { .. }) => "exhausted",
