--- a/src/gateway/attempt/mod.rs
+++ b/src/gateway/attempt/mod.rs
@@ -109,7 +109,7 @@
                 Ok(None)
             }
             RerunPlace::Same => {
-                progress.reruns.set(progress.reruns.get() + 1);
+                progress.same_upstream_reruns.set(progress.same_upstream_reruns.get() + 1);
                 Ok(Some(lost.clone()))
             }
             RerunPlace::Nowhere => Err(Refusal::unknown(StatusCode::BAD_GATEWAY, "answer_lost")),
@@ -122,14 +122,14 @@
             return RerunPlace::Nowhere;
         }
         let upstreams = self.news.upstreams.borrow();
-        let engines = progress.engines.borrow();
-        let running = engines
+        let incarnations = progress.incarnations.borrow();
+        let running = incarnations
             .iter()
-            .filter(|engine| upstreams.has_incarnation(&engine.id, engine.started_at))
+            .filter(|known| upstreams.has_incarnation(&known.id, known.started_at))
             .count();
         if running < call.route.max_attempts as usize {
             RerunPlace::Elsewhere
-        } else if call.route.is_resumable && progress.reruns.get() < MAX_RERUNS {
+        } else if call.route.is_resumable && progress.same_upstream_reruns.get() < MAX_RERUNS {
             RerunPlace::Same
         } else {
             RerunPlace::Nowhere
@@ -171,7 +171,7 @@
                         choice.id
                     );
                     if result == AttemptResult::Unreachable {
-                        progress.note_gone(&choice);
+                        progress.record_unreachable(&choice);
                     } else if is_pinned {
                         sleep(FULL_PAUSE).await;
                         pinned = self.after_loss(call, &choice, tried, progress)?;
@@ -229,28 +229,29 @@
         progress: &AttemptProgress,
     ) -> Result<UpstreamAnswer, AttemptError> {
         let guard = AttemptGuard::new(self, call, choice);
-        let connection = self.pool.get_proven(&choice.address, progress.unreached.get()).await;
+        let connection =
+            self.pool.get_proven(&choice.address, progress.connect_failures.get()).await;
         let mut connection = connection.map_err(|error| {
             log::debug!("event=connect_failed upstream={} error=\"{error}\"", choice.id);
-            progress.unreached.set(progress.unreached.get() + 1);
+            progress.connect_failures.set(progress.connect_failures.get() + 1);
             guard.record(AttemptResult::Unreachable);
             AttemptError::NotRun(AttemptResult::Unreachable)
         })?;
         let sent_at = Instant::now();
         let head = self.attempt_head(call, choice, progress);
-        progress.exposed.set(true);
+        progress.maybe_running.set(true);
         let waited = progress.sent_after.get().unwrap_or_else(|| call.arrived.elapsed());
         progress.sent_after.set(Some(waited));
         let exchange = exchange(self, &mut connection, call, head).await;
         let (head, info) = exchange.map_err(|error| {
             guard.record(AttemptResult::Broken);
-            progress.note_run(choice);
+            progress.record_run(choice);
             log::debug!("event=answer_lost upstream={} error=\"{error}\"", choice.id);
             AttemptError::Unknown(error_word(&error))
         })?;
         let misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
         if info.not_run || misdirected {
-            progress.exposed.set(false);
+            progress.maybe_running.set(false);
             let result = if misdirected { AttemptResult::Unreachable } else { AttemptResult::Full };
             guard.record(result);
             if connection.rest(MAX_FOREIGN_BODY).await.is_ok() {
@@ -258,7 +259,7 @@
             }
             return Err(AttemptError::NotRun(result));
         }
-        progress.note_run(choice);
+        progress.record_run(choice);
         let body = self.whole_body(call, &mut connection).await.map_err(|error| {
             guard.record(AttemptResult::Broken);
             AttemptError::Unknown(error_word(&error))
--- a/src/gateway/attempt/progress.rs
+++ b/src/gateway/attempt/progress.rs
@@ -21,13 +21,13 @@
     /// the time to the first event.
     pub(crate) sent_after: Cell<Option<Duration>>,
     /// Whether an attempt is under way whose upstream may be running the request.
-    pub(crate) exposed: Cell<bool>,
+    pub(crate) maybe_running: Cell<bool>,
     /// Incarnations that have run the request.
-    pub(super) engines: RefCell<Vec<UpstreamIncarnation>>,
+    pub(super) incarnations: RefCell<Vec<UpstreamIncarnation>>,
     /// Upstreams that took no connection.
-    pub(super) unreached: Cell<u32>,
+    pub(super) connect_failures: Cell<u32>,
     /// Times it was sent again to the upstream that broke it off.
-    pub(super) reruns: Cell<u32>,
+    pub(super) same_upstream_reruns: Cell<u32>,
     /// The last event that was passed on, after which a stream goes on.
     pub(crate) last_event: RefCell<Option<EventId>>,
 }
@@ -47,21 +47,21 @@
 impl AttemptProgress {
     /// Whether an upstream may have run the request.
     pub(crate) fn may_have_run(&self) -> bool {
-        self.exposed.get() || self.runs.get() > 0
+        self.maybe_running.get() || self.runs.get() > 0
     }
 
-    pub(super) fn note_run(&self, choice: &UpstreamChoice) {
+    pub(super) fn record_run(&self, choice: &UpstreamChoice) {
         self.runs.set(self.runs.get() + 1);
         let incarnation = UpstreamIncarnation::of(choice);
-        let mut engines = self.engines.borrow_mut();
-        if !engines.contains(&incarnation) {
-            engines.push(incarnation);
+        let mut incarnations = self.incarnations.borrow_mut();
+        if !incarnations.contains(&incarnation) {
+            incarnations.push(incarnation);
         }
     }
 
     /// Notes that an upstream cannot be reached: what it ran has ended with it.
-    pub(super) fn note_gone(&self, choice: &UpstreamChoice) {
+    pub(super) fn record_unreachable(&self, choice: &UpstreamChoice) {
         let incarnation = UpstreamIncarnation::of(choice);
-        self.engines.borrow_mut().retain(|known| *known != incarnation);
+        self.incarnations.borrow_mut().retain(|known| *known != incarnation);
     }
 }
