--- a/src/gateway/attempt/exchange.rs
+++ b/src/gateway/attempt/exchange.rs
@@ -37,7 +37,7 @@
     Err(AnswerError::Foreign)
 }
 
-pub(super) fn error_word(error: &AnswerError) -> &'static str {
+pub(super) fn error_label(error: &AnswerError) -> &'static str {
     match error {
         AnswerError::Ended => "connection_ended",
         AnswerError::Broken(_) => "connection_broken",
--- a/src/gateway/attempt/mod.rs
+++ b/src/gateway/attempt/mod.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use tokio::time::{Instant, sleep};
 
-use exchange::{error_word, exchange};
+use exchange::{error_label, exchange};
 pub(crate) use guard::AttemptGuard;
 pub(crate) use progress::AttemptProgress;
 
@@ -65,12 +65,12 @@
 }
 
 /// Where a request may go after an upstream that may have run it.
-enum RerunPlace {
+enum RerunTarget {
     /// To any other upstream.
-    Elsewhere,
+    Other,
     /// To the same one only, as no more upstreams may run it.
     Same,
-    Nowhere,
+    Forbidden,
 }
 
 impl Gateway {
@@ -80,46 +80,46 @@
         call: &CallContext,
         progress: &AttemptProgress,
     ) -> Result<UpstreamAnswer, Refusal> {
-        self.attempt_from(call, None, &mut Vec::new(), progress).await
+        self.try_upstreams(call, None, &mut Vec::new(), progress).await
     }
 
     /// Finds an answer for a stream that an upstream broke off.
-    pub(crate) async fn attempt_again(
+    pub(crate) async fn attempt_resume(
         self: &Rc<Self>,
         call: &CallContext,
         broken: &UpstreamChoice,
         progress: &AttemptProgress,
     ) -> Result<UpstreamAnswer, Refusal> {
         let mut tried = Vec::new();
-        let pinned = self.after_loss(call, broken, &mut tried, progress)?;
-        self.attempt_from(call, pinned, &mut tried, progress).await
+        let pinned = self.plan_rerun(call, broken, &mut tried, progress)?;
+        self.try_upstreams(call, pinned, &mut tried, progress).await
     }
 
     /// The upstream that a request must be sent to again; none if any untried one will do.
-    fn after_loss(
+    fn plan_rerun(
         &self,
         call: &CallContext,
         lost: &UpstreamChoice,
         tried: &mut Vec<UpstreamId>,
         progress: &AttemptProgress,
     ) -> Result<Option<UpstreamChoice>, Refusal> {
-        match self.rerun_place(call, progress) {
-            RerunPlace::Elsewhere => {
+        match self.rerun_target(call, progress) {
+            RerunTarget::Other => {
                 tried.push(lost.id.clone());
                 Ok(None)
             }
-            RerunPlace::Same => {
+            RerunTarget::Same => {
                 progress.same_upstream_reruns.set(progress.same_upstream_reruns.get() + 1);
                 Ok(Some(lost.clone()))
             }
-            RerunPlace::Nowhere => Err(Refusal::unknown(StatusCode::BAD_GATEWAY, "answer_lost")),
+            RerunTarget::Forbidden => Err(Refusal::unknown(StatusCode::BAD_GATEWAY, "answer_lost")),
         }
     }
 
     /// A route bounds how many upstreams run a request; those that have ended since do not count.
-    fn rerun_place(&self, call: &CallContext, progress: &AttemptProgress) -> RerunPlace {
+    fn rerun_target(&self, call: &CallContext, progress: &AttemptProgress) -> RerunTarget {
         if !call.route.is_idempotent() || Instant::now() >= call.deadline {
-            return RerunPlace::Nowhere;
+            return RerunTarget::Forbidden;
         }
         let upstreams = self.news.upstreams.borrow();
         let incarnations = progress.incarnations.borrow();
@@ -128,15 +128,15 @@
             .filter(|known| upstreams.has_incarnation(&known.id, known.started_at))
             .count();
         if running < call.route.max_attempts as usize {
-            RerunPlace::Elsewhere
+            RerunTarget::Other
         } else if call.route.is_resumable && progress.same_upstream_reruns.get() < MAX_RERUNS {
-            RerunPlace::Same
+            RerunTarget::Same
         } else {
-            RerunPlace::Nowhere
+            RerunTarget::Forbidden
         }
     }
 
-    async fn attempt_from(
+    async fn try_upstreams(
         self: &Rc<Self>,
         call: &CallContext,
         mut pinned: Option<UpstreamChoice>,
@@ -148,18 +148,18 @@
             let is_pinned = pinned.is_some();
             let Some(choice) = pinned.take().or_else(|| self.choose(call, tried)) else {
                 if tried.is_empty() {
-                    return Err(no_answer(progress, "no_upstream", NOBODY_RETRY));
+                    return Err(no_upstream_refusal(progress, "no_upstream", NOBODY_RETRY));
                 }
                 if Instant::now() + FULL_PAUSE >= patience || tried.len() >= MAX_UNRUN {
-                    return Err(no_answer(progress, "upstreams_full", FULL_RETRY));
+                    return Err(no_upstream_refusal(progress, "upstreams_full", FULL_RETRY));
                 }
                 sleep(FULL_PAUSE).await;
                 tried.clear();
                 continue;
             };
             progress.tries.set(progress.tries.get() + 1);
-            match self.attempt_at(call, &choice, progress).await {
-                Ok(answer) if self.wants_another(call, &answer, progress) => {
+            match self.attempt_upstream(call, &choice, progress).await {
+                Ok(answer) if self.should_retry_elsewhere(call, &answer, progress) => {
                     answer.guard.record(AttemptResult::Broken);
                     tried.push(choice.id);
                 }
@@ -174,12 +174,12 @@
                         progress.record_unreachable(&choice);
                     } else if is_pinned {
                         sleep(FULL_PAUSE).await;
-                        pinned = self.after_loss(call, &choice, tried, progress)?;
+                        pinned = self.plan_rerun(call, &choice, tried, progress)?;
                         continue;
                     }
                     tried.push(choice.id);
                     if tried.len() >= MAX_UNRUN {
-                        return Err(no_answer(progress, "upstreams_full", FULL_RETRY));
+                        return Err(no_upstream_refusal(progress, "upstreams_full", FULL_RETRY));
                     }
                 }
                 Err(AttemptError::Unknown(cause)) => {
@@ -189,21 +189,21 @@
                         choice.id,
                         progress.runs.get()
                     );
-                    pinned = self.after_loss(call, &choice, tried, progress)?;
+                    pinned = self.plan_rerun(call, &choice, tried, progress)?;
                 }
             }
         }
     }
 
     /// Whether a failure that an upstream answered should be tried elsewhere instead.
-    fn wants_another(
+    fn should_retry_elsewhere(
         &self,
         call: &CallContext,
         answer: &UpstreamAnswer,
         progress: &AttemptProgress,
     ) -> bool {
         answer.head.status.is_server_error()
-            && matches!(self.rerun_place(call, progress), RerunPlace::Elsewhere)
+            && matches!(self.rerun_target(call, progress), RerunTarget::Other)
     }
 
     fn choose(&self, call: &CallContext, tried: &[UpstreamId]) -> Option<UpstreamChoice> {
@@ -222,7 +222,7 @@
         self.news.upstreams.borrow().choose(&request)
     }
 
-    async fn attempt_at(
+    async fn attempt_upstream(
         self: &Rc<Self>,
         call: &CallContext,
         choice: &UpstreamChoice,
@@ -247,7 +247,7 @@
             guard.record(AttemptResult::Broken);
             progress.record_run(choice);
             log::debug!("event=answer_lost upstream={} error=\"{error}\"", choice.id);
-            AttemptError::Unknown(error_word(&error))
+            AttemptError::Unknown(error_label(&error))
         })?;
         let misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
         if info.not_run || misdirected {
@@ -260,16 +260,16 @@
             return Err(AttemptError::NotRun(result));
         }
         progress.record_run(choice);
-        let body = self.whole_body(call, &mut connection).await.map_err(|error| {
+        let body = self.buffer_body(call, &mut connection).await.map_err(|error| {
             guard.record(AttemptResult::Broken);
-            AttemptError::Unknown(error_word(&error))
+            AttemptError::Unknown(error_label(&error))
         })?;
         Ok(UpstreamAnswer { choice: choice.clone(), connection, head, info, body, guard, sent_at })
     }
 
     /// Reads the whole answer to an idempotent request: if it breaks off, another upstream can
     /// still answer, and the caller sees nothing of it.
-    async fn whole_body(
+    async fn buffer_body(
         &self,
         call: &CallContext,
         connection: &mut UpstreamConnection,
@@ -302,7 +302,11 @@
 }
 
 /// The end of a request that no upstream is left for: only what has surely not run is said not to.
-fn no_answer(progress: &AttemptProgress, reason: &'static str, retry: Duration) -> Refusal {
+fn no_upstream_refusal(
+    progress: &AttemptProgress,
+    reason: &'static str,
+    retry: Duration,
+) -> Refusal {
     if progress.may_have_run() {
         return Refusal::unknown(StatusCode::BAD_GATEWAY, "answer_lost");
     }
--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -174,7 +174,7 @@
         }
         state.restart();
         progress.last_event.replace(last.clone());
-        let next = self.attempt_again(call, &choice, progress).await.map_err(|refusal| {
+        let next = self.attempt_resume(call, &choice, progress).await.map_err(|refusal| {
             log::info!("event=stream_not_resumed request={} reason={}", call.id, refusal.reason);
             choice.id.clone()
         })?;
