--- a/src/gateway/attempt/exchange.rs
+++ b/src/gateway/attempt/exchange.rs
@@ -2,14 +2,14 @@
 
 use actix_http::{RequestHead, ResponseHead, StatusCode};
 
-use super::MAX_FOREIGN_BODY;
+use super::MAX_DISCARDED_BODY_BYTES;
 use crate::gateway::Gateway;
 use crate::gateway::call::CallContext;
 use crate::gateway::dialect::AnswerHead;
 use crate::gateway::http::{AnswerError, UpstreamConnection};
 
 /// Answers to other requests that are skipped on one connection.
-const MAX_FOREIGN: usize = 3;
+const MAX_FOREIGN_ANSWERS: usize = 3;
 
 /// Sends the request and reads the head of the answer to it, skipping late answers to others.
 pub(super) async fn exchange(
@@ -19,7 +19,7 @@
     head: RequestHead,
 ) -> Result<(ResponseHead, AnswerHead), AnswerError> {
     connection.request(head, call.body.clone())?;
-    for _ in 0..MAX_FOREIGN {
+    for _ in 0..MAX_FOREIGN_ANSWERS {
         let head = connection.head().await?;
         let info = gateway.dialect.answer_head(&head.headers);
         if info.request.as_ref() == Some(&call.id) {
@@ -32,7 +32,7 @@
         if info.request.is_none() && head.status == StatusCode::MISDIRECTED_REQUEST {
             return Ok((head, info));
         }
-        connection.rest(MAX_FOREIGN_BODY).await?;
+        connection.rest(MAX_DISCARDED_BODY_BYTES).await?;
     }
     Err(AnswerError::Foreign)
 }
--- a/src/gateway/attempt/mod.rs
+++ b/src/gateway/attempt/mod.rs
@@ -25,24 +25,24 @@
 use crate::core::upstreams::{AttemptResult, ChoiceRequest, UpstreamChoice};
 
 /// Upstreams that may refuse one request, unrun, before it is refused itself.
-const MAX_UNRUN: usize = 8;
+const MAX_TRIED_UPSTREAMS: usize = 8;
 /// Pause before upstreams that refused are asked again.
-const FULL_PAUSE: Duration = Duration::from_millis(30);
+const UPSTREAM_RETRY_INTERVAL: Duration = Duration::from_millis(30);
 /// Part of the objective within which upstreams that refused are asked again; a refusal that
 /// comes later leaves the caller too little time for another attempt.
-const PATIENCE_SHARE: u32 = 4;
+const RETRY_WINDOW_DIVISOR: u32 = 4;
 /// When a caller may come back where all upstreams were full: a few of their requests end
 /// meanwhile.
-const FULL_RETRY: Duration = Duration::from_millis(150);
+const UPSTREAMS_FULL_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// When a caller may come back where a service has no upstream at all: one of them starts, and
 /// its news comes.
-const NOBODY_RETRY: Duration = Duration::from_millis(700);
+const NO_UPSTREAM_RETRY_DELAY: Duration = Duration::from_millis(700);
 /// Largest answer that is read as a whole; those of idempotent requests are a few kilobytes.
-const MAX_WHOLE_BODY: usize = 4 * 1024 * 1024;
+const MAX_BUFFERED_BODY_BYTES: usize = 4 * 1024 * 1024;
 /// Times that a stream goes on at the engine that broke it off.
-const MAX_RERUNS: u32 = 3;
+const MAX_SAME_UPSTREAM_RERUNS: u32 = 3;
 /// Largest body of a skipped answer.
-const MAX_FOREIGN_BODY: usize = 1024 * 1024;
+const MAX_DISCARDED_BODY_BYTES: usize = 1024 * 1024;
 
 /// An upstream's answer whose body is still to be read.
 pub(crate) struct UpstreamAnswer {
@@ -129,7 +129,9 @@
             .count();
         if running < call.route.max_attempts as usize {
             RerunTarget::Other
-        } else if call.route.is_resumable && progress.same_upstream_reruns.get() < MAX_RERUNS {
+        } else if call.route.is_resumable
+            && progress.same_upstream_reruns.get() < MAX_SAME_UPSTREAM_RERUNS
+        {
             RerunTarget::Same
         } else {
             RerunTarget::Forbidden
@@ -143,17 +145,27 @@
         tried: &mut Vec<UpstreamId>,
         progress: &AttemptProgress,
     ) -> Result<UpstreamAnswer, Refusal> {
-        let patience = call.arrived + call.route.objective / PATIENCE_SHARE;
+        let retry_deadline = call.arrived + call.route.objective / RETRY_WINDOW_DIVISOR;
         loop {
             let is_pinned = pinned.is_some();
             let Some(choice) = pinned.take().or_else(|| self.choose(call, tried)) else {
                 if tried.is_empty() {
-                    return Err(no_upstream_refusal(progress, "no_upstream", NOBODY_RETRY));
+                    return Err(no_upstream_refusal(
+                        progress,
+                        "no_upstream",
+                        NO_UPSTREAM_RETRY_DELAY,
+                    ));
                 }
-                if Instant::now() + FULL_PAUSE >= patience || tried.len() >= MAX_UNRUN {
-                    return Err(no_upstream_refusal(progress, "upstreams_full", FULL_RETRY));
+                if Instant::now() + UPSTREAM_RETRY_INTERVAL >= retry_deadline
+                    || tried.len() >= MAX_TRIED_UPSTREAMS
+                {
+                    return Err(no_upstream_refusal(
+                        progress,
+                        "upstreams_full",
+                        UPSTREAMS_FULL_RETRY_DELAY,
+                    ));
                 }
-                sleep(FULL_PAUSE).await;
+                sleep(UPSTREAM_RETRY_INTERVAL).await;
                 tried.clear();
                 continue;
             };
@@ -173,13 +185,17 @@
                     if result == AttemptResult::Unreachable {
                         progress.record_unreachable(&choice);
                     } else if is_pinned {
-                        sleep(FULL_PAUSE).await;
+                        sleep(UPSTREAM_RETRY_INTERVAL).await;
                         pinned = self.plan_rerun(call, &choice, tried, progress)?;
                         continue;
                     }
                     tried.push(choice.id);
-                    if tried.len() >= MAX_UNRUN {
-                        return Err(no_upstream_refusal(progress, "upstreams_full", FULL_RETRY));
+                    if tried.len() >= MAX_TRIED_UPSTREAMS {
+                        return Err(no_upstream_refusal(
+                            progress,
+                            "upstreams_full",
+                            UPSTREAMS_FULL_RETRY_DELAY,
+                        ));
                     }
                 }
                 Err(AttemptError::Unknown(cause)) => {
@@ -254,7 +270,7 @@
             progress.maybe_running.set(false);
             let result = if misdirected { AttemptResult::Unreachable } else { AttemptResult::Full };
             guard.record(result);
-            if connection.rest(MAX_FOREIGN_BODY).await.is_ok() {
+            if connection.rest(MAX_DISCARDED_BODY_BYTES).await.is_ok() {
                 self.pool.put(&choice.address, connection, info.keep_alive);
             }
             return Err(AttemptError::NotRun(result));
@@ -277,7 +293,7 @@
         if call.route.kind != RouteKind::Idempotent {
             return Ok(None);
         }
-        connection.rest(MAX_WHOLE_BODY).await.map(Some)
+        connection.rest(MAX_BUFFERED_BODY_BYTES).await.map(Some)
     }
 
     fn attempt_head(
