--- a/src/gateway/attempt/guard.rs
+++ b/src/gateway/attempt/guard.rs
@@ -16,39 +16,39 @@
 pub(crate) struct AttemptGuard {
     gateway: Rc<Gateway>,
     upstream: UpstreamId,
-    begun: Instant,
+    started_at: Instant,
     service: ServiceName,
     objective: Duration,
     /// Time the upstream was expected to read the prompt, in milliseconds; 0 without one.
     prefill_ms: f64,
-    heard: Cell<bool>,
+    first_byte_received: Cell<bool>,
     result: Cell<AttemptResult>,
 }
 
 impl AttemptGuard {
     pub(super) fn new(gateway: &Rc<Gateway>, call: &CallContext, choice: &UpstreamChoice) -> Self {
         let mut upstreams = gateway.news.upstreams.borrow_mut();
-        let begun = Instant::now();
-        upstreams.started(&choice.id, choice.prefill_ms, begun);
+        let started_at = Instant::now();
+        upstreams.started(&choice.id, choice.prefill_ms, started_at);
         if !gateway.settings.uses(GatewayMechanism::SilenceAvoidance) {
-            upstreams.record_first_byte(&choice.id, begun);
+            upstreams.record_first_byte(&choice.id, started_at);
         }
         Self {
             gateway: gateway.clone(),
             upstream: choice.id.clone(),
-            begun,
+            started_at,
             service: call.service.clone(),
             objective: call.route.objective,
             prefill_ms: choice.prefill_ms,
-            heard: Cell::new(false),
+            first_byte_received: Cell::new(false),
             result: Cell::new(AttemptResult::Abandoned),
         }
     }
 
     /// Notes that the first bytes of the answer's body came.
-    pub(crate) fn heard(&self) {
-        self.gateway.news.upstreams.borrow_mut().record_first_byte(&self.upstream, self.begun);
-        if let Some(waited) = self.take_wait() {
+    pub(crate) fn record_first_byte(&self) {
+        self.gateway.news.upstreams.borrow_mut().record_first_byte(&self.upstream, self.started_at);
+        if let Some(waited) = self.take_queue_wait() {
             let mut gate = self.gateway.gate.borrow_mut();
             gate.record_wait(&self.service, waited, self.objective, Instant::now());
         }
@@ -56,11 +56,11 @@
 
     /// How long a prompt has waited for its first word, in milliseconds; none without a prompt, or if
     /// the word has come.
-    fn take_wait(&self) -> Option<f64> {
-        if self.heard.replace(true) || self.prefill_ms <= 0.0 {
+    fn take_queue_wait(&self) -> Option<f64> {
+        if self.first_byte_received.replace(true) || self.prefill_ms <= 0.0 {
             return None;
         }
-        let waited = self.begun.elapsed().as_secs_f64() * 1e3 - self.prefill_ms;
+        let waited = self.started_at.elapsed().as_secs_f64() * 1e3 - self.prefill_ms;
         Some(waited.max(0.0))
     }
 
@@ -72,12 +72,12 @@
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
         if self.result.get() == AttemptResult::Abandoned
-            && let Some(waited) = self.take_wait()
+            && let Some(waited) = self.take_queue_wait()
         {
             let mut gate = self.gateway.gate.borrow_mut();
             gate.record_abandoned(&self.service, waited, Instant::now());
         }
         let mut upstreams = self.gateway.news.upstreams.borrow_mut();
-        upstreams.ended(&self.upstream, self.begun, self.result.get(), Instant::now());
+        upstreams.ended(&self.upstream, self.started_at, self.result.get(), Instant::now());
     }
 }
--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -125,7 +125,7 @@
             };
             if state.first_at.is_none() {
                 state.first_at = Some(Instant::now());
-                answer.guard.heard();
+                answer.guard.record_first_byte();
             }
             let chunk = match state.whole.as_mut() {
                 Some(whole) => whole.push(&chunk),
