--- a/src/gateway/call/mod.rs
+++ b/src/gateway/call/mod.rs
@@ -178,12 +178,12 @@
         progress: &AttemptProgress,
         writer: &mut CallerWriter,
     ) -> CallEnd {
-        let place = match self.take_place(call).await {
-            Ok(place) => place,
+        let permit = match self.acquire_permit(call).await {
+            Ok(permit) => permit,
             Err(refusal) => return self.end_refused(&refusal, writer).await,
         };
         let end = self.run_admitted(call, progress, writer).await;
-        place.settle(progress);
+        permit.release_if_unrun(progress);
         end
     }
 
--- a/src/gateway/call/quota.rs
+++ b/src/gateway/call/quota.rs
@@ -13,17 +13,17 @@
 use crate::gateway::refusal::Refusal;
 
 /// The place of a call, if its workspace has a limit.
-pub(super) struct CallPlace {
+pub(super) struct CallPermit {
     quotas: Rc<dyn QuotaKeeper>,
-    place: Option<QuotaPlace>,
+    permit: Option<QuotaPlace>,
 }
 
-impl CallPlace {
+impl CallPermit {
     /// Gives the place back if no upstream has run the call: only what runs counts.
-    pub(super) fn settle(mut self, progress: &AttemptProgress) {
+    pub(super) fn release_if_unrun(mut self, progress: &AttemptProgress) {
         let unrun = !progress.may_have_run();
-        if let Some(place) = self.place.take().filter(|_| unrun) {
-            self.quotas.give_back(place);
+        if let Some(permit) = self.permit.take().filter(|_| unrun) {
+            self.quotas.give_back(permit);
         }
     }
 }
@@ -31,22 +31,25 @@
 impl Gateway {
     /// Waits for a place within the workspace's limit, before anything is done for the call: a turn that
     /// is refused must not cost writes of the store.
-    pub(super) async fn take_place(&self, call: &CallContext) -> Result<CallPlace, Refusal> {
+    pub(super) async fn acquire_permit(&self, call: &CallContext) -> Result<CallPermit, Refusal> {
         let quotas = self.quotas.clone();
-        let limited = call.workspace.as_ref().and_then(|space| Some((space, space.quota?)));
+        let limited =
+            call.workspace.as_ref().and_then(|workspace| Some((workspace, workspace.quota?)));
         let Some((workspace, quota)) = limited else {
-            return Ok(CallPlace { quotas, place: None });
+            return Ok(CallPermit { quotas, permit: None });
         };
         // Whether a turn without a history is its program's first is known to the coordinator alone.
         let opens = call.scope == Some(TurnScope::History) && call.head.previous.is_none();
-        let ask = QuotaRequest { opens };
-        let asked = quotas.ask(&workspace.name, quota, ask);
-        let outcome = timeout_at(call.deadline, asked)
+        let request = QuotaRequest { opens };
+        let reply = quotas.ask(&workspace.name, quota, request);
+        let outcome = timeout_at(call.deadline, reply)
             .await
             .unwrap_or(QuotaOutcome::Uncertain { retry_after: DEADLINE_RETRY });
         self.metrics.quota_asked(&workspace.name, outcome.word(), call.arrived.elapsed());
         let (refusal, retry_after) = match outcome {
-            QuotaOutcome::Granted(place) => return Ok(CallPlace { quotas, place: Some(place) }),
+            QuotaOutcome::Granted(permit) => {
+                return Ok(CallPermit { quotas, permit: Some(permit) });
+            }
             QuotaOutcome::OverLimit { retry_after } => {
                 (Refusal::over_quota(retry_after), retry_after)
             }
@@ -60,7 +63,7 @@
             call.id,
             workspace.name,
             refusal.reason,
-            ask.opens,
+            request.opens,
             quota.rate,
             quota.burst,
             retry_after.as_millis(),
