--- a/src/gateway/call/access.rs
+++ b/src/gateway/call/access.rs
@@ -4,7 +4,7 @@
 
 use actix_http::StatusCode;
 
-use super::prepare::NO_ROUTES_RETRY;
+use super::prepare::NO_ROUTES_RETRY_DELAY;
 use crate::core::routing::{RouteSpec, RouteTable};
 use crate::core::workspaces::{ApiKey, WorkspaceSpec};
 use crate::gateway::Gateway;
@@ -49,10 +49,10 @@
         key: Option<&ApiKey>,
     ) -> Result<CallGrant, Refusal> {
         let Some(table) = self.news.routes() else {
-            return Err(Refusal::not_run("no_routes_yet", NO_ROUTES_RETRY));
+            return Err(Refusal::not_run("no_routes_yet", NO_ROUTES_RETRY_DELAY));
         };
         if !self.trusts_keys(&table).await {
-            return Err(Refusal::not_run("keys_uncertain", NO_ROUTES_RETRY));
+            return Err(Refusal::not_run("keys_uncertain", NO_ROUTES_RETRY_DELAY));
         }
         if let Ok(grant) = grant(&table, request, key) {
             return Ok(grant);
@@ -61,7 +61,7 @@
         let table = self.news.routes().unwrap_or(table);
         grant(&table, request, key).map_err(|denial| match fresh {
             true => denial.refusal(),
-            false => Refusal::not_run("routes_uncertain", NO_ROUTES_RETRY),
+            false => Refusal::not_run("routes_uncertain", NO_ROUTES_RETRY_DELAY),
         })
     }
 
--- a/src/gateway/call/mod.rs
+++ b/src/gateway/call/mod.rs
@@ -27,7 +27,7 @@
 use crate::core::workspaces::WorkspaceSpec;
 
 /// When a caller may come back whose request found no place before its deadline.
-const DEADLINE_RETRY: Duration = Duration::from_millis(500);
+const DEADLINE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Everything that is decided about a request before it is sent on.
 pub(crate) struct CallContext {
@@ -201,7 +201,7 @@
             Ok(Ok(turn)) => self.send_on(call, Some(turn), progress, writer).await,
             Ok(Err(refusal)) => self.end_refused(&refusal, writer).await,
             Err(_) => {
-                let refusal = Refusal::not_run("store_slow", DEADLINE_RETRY);
+                let refusal = Refusal::not_run("store_slow", DEADLINE_RETRY_DELAY);
                 self.end_refused(&refusal, writer).await
             }
         }
@@ -229,7 +229,7 @@
                 let refusal = if progress.may_have_run() {
                     Refusal::unknown(StatusCode::GATEWAY_TIMEOUT, "deadline")
                 } else {
-                    Refusal::not_run("deadline_unrun", DEADLINE_RETRY)
+                    Refusal::not_run("deadline_unrun", DEADLINE_RETRY_DELAY)
                 };
                 return self.end_refused(&refusal, writer).await;
             }
--- a/src/gateway/call/prepare.rs
+++ b/src/gateway/call/prepare.rs
@@ -19,7 +19,7 @@
 use crate::gateway::refusal::Refusal;
 
 /// When a caller may come back to an instance that has no routes yet: they are read in a second.
-pub(super) const NO_ROUTES_RETRY: Duration = Duration::from_millis(500);
+pub(super) const NO_ROUTES_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Headers that concern one connection only (RFC 9110, 7.6.1), and those the codec writes.
 const HOP_HEADERS: [&str; 10] = [
     "connection",
@@ -95,7 +95,7 @@
             fail(refusal.unwrap_or(Refusal::rejected(StatusCode::BAD_REQUEST, "broken_body")))
         })?;
         let Some(service) = route.service(random()).cloned() else {
-            return Err(fail(Refusal::not_run("route_without_service", NO_ROUTES_RETRY)));
+            return Err(fail(Refusal::not_run("route_without_service", NO_ROUTES_RETRY_DELAY)));
         };
         let own_rank = workspace.as_ref().and_then(|workspace| workspace.priority);
         let rank = own_rank.unwrap_or(route.priority);
--- a/src/gateway/call/quota.rs
+++ b/src/gateway/call/quota.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::timeout_at;
 
-use super::{CallContext, DEADLINE_RETRY};
+use super::{CallContext, DEADLINE_RETRY_DELAY};
 use crate::core::quotas::QuotaRequest;
 use crate::core::turns::TurnScope;
 use crate::gateway::Gateway;
@@ -44,7 +44,7 @@
         let reply = quotas.ask(&workspace.name, quota, request);
         let outcome = timeout_at(call.deadline, reply)
             .await
-            .unwrap_or(QuotaOutcome::Uncertain { retry_after: DEADLINE_RETRY });
+            .unwrap_or(QuotaOutcome::Uncertain { retry_after: DEADLINE_RETRY_DELAY });
         self.metrics.quota_asked(&workspace.name, outcome.word(), call.arrived.elapsed());
         let (refusal, retry_after) = match outcome {
             QuotaOutcome::Granted(permit) => {
--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -20,7 +20,7 @@
 use crate::gateway::{Gateway, GatewayMechanism};
 
 /// Events of a stream whose pace says something about the engine.
-const MIN_PACED_EVENTS: u64 = 4;
+const MIN_LATENCY_EVENTS: u64 = 4;
 
 /// How passing an answer on ended before its end.
 enum RelayError {
@@ -245,7 +245,7 @@
     /// and that of a plain service on the request; neither tells about the upstream.
     fn note_pace(&self, upstream: &UpstreamId, first_at: Option<Instant>, events: u64) {
         let paced = self.settings.uses(GatewayMechanism::PaceAvoidance);
-        let first_at = first_at.filter(|_| paced && events >= MIN_PACED_EVENTS);
+        let first_at = first_at.filter(|_| paced && events >= MIN_LATENCY_EVENTS);
         let Some(first_at) = first_at else { return };
         let millis = first_at.elapsed().as_secs_f64() * 1e3 / (events - 1) as f64;
         self.news.upstreams.borrow_mut().observe_latency(upstream, millis, Instant::now());
--- a/src/gateway/call/turn.rs
+++ b/src/gateway/call/turn.rs
@@ -26,16 +26,16 @@
 
 /// When a caller may come back while the store is away. What lasts longer than a blip lasts for
 /// seconds: sooner, callers would have used up their tries before the store is back.
-const STORE_RETRY: Duration = Duration::from_secs(2);
+const STORE_RETRY_DELAY: Duration = Duration::from_secs(2);
 /// Part of the caller's time that a turn waits for a store that is away as a whole. Refused at once, a
 /// turn's tries would be used up early in an outage and its program lost; a caller that hears nothing for
 /// too long leaves.
-const OUTAGE_PATIENCE: f64 = 0.375;
+const MAX_OUTAGE_WAIT_SHARE: f64 = 0.375;
 /// Time left to the caller after a reservation is given up.
-const RESERVE_MARGIN: Duration = Duration::from_millis(200);
+const CLAIM_TIMEOUT_MARGIN: Duration = Duration::from_millis(200);
 
 /// When a new program may come back that a coordinator turned away unasked.
-const NOT_ADMITTED_RETRY: Duration = Duration::from_millis(500);
+const NOT_ADMITTED_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// The part of a call that belongs to a program's history.
 pub(super) struct TurnWork {
@@ -176,7 +176,7 @@
         claim: TurnClaim,
         progress: &AttemptProgress,
     ) -> Result<ClaimedTurn, ClaimError> {
-        let limit = call.deadline - RESERVE_MARGIN.min(call.route.timeout);
+        let limit = call.deadline - CLAIM_TIMEOUT_MARGIN.min(call.route.timeout);
         let coordinator = self.coordinator(&claim.program);
         if let TurnCoordinator::Peer(peer) = &coordinator {
             progress.coordinator.replace(Some(peer.clone()));
@@ -206,7 +206,7 @@
             return self.turns.claim(coordinator, claim, limit).await;
         }
         let time = call.deadline.saturating_duration_since(call.arrived);
-        let patience = call.arrived + time.mul_f64(OUTAGE_PATIENCE);
+        let patience = call.arrived + time.mul_f64(MAX_OUTAGE_WAIT_SHARE);
         loop {
             if self.store.outage().is_some()
                 && timeout_at(patience, self.store.reachable()).await.is_err()
@@ -240,7 +240,9 @@
                 );
                 Refusal::rejected(StatusCode::PAYMENT_REQUIRED, "budget_exhausted")
             }
-            ClaimError::NotAdmitted => Refusal::not_run("engines_overloaded", NOT_ADMITTED_RETRY),
+            ClaimError::NotAdmitted => {
+                Refusal::not_run("engines_overloaded", NOT_ADMITTED_RETRY_DELAY)
+            }
             ClaimError::NoSuchTurn => Refusal::rejected(StatusCode::NOT_FOUND, "no_such_turn"),
             ClaimError::Store(error) | ClaimError::Doubtful(error) => self.store_refusal(&error),
         }
@@ -250,14 +252,14 @@
     fn store_refusal(&self, error: &StoreError) -> Refusal {
         let outage = self.store.outage().unwrap_or_default();
         log::debug!("event=store_refusal error=\"{error}\" outage_ms={}", outage.as_millis());
-        Refusal::not_run("store_unavailable", STORE_RETRY)
+        Refusal::not_run("store_unavailable", STORE_RETRY_DELAY)
     }
 }
 
 /// The refusal of a program's first turn.
 fn turned_away(call: &CallContext, program: &ProgramName, reply: AdmissionReply) -> Refusal {
     let AdmissionReply::Rejected { retry_after, admitted_fraction: share, excess } = reply else {
-        return Refusal::not_run("engines_overloaded", NOT_ADMITTED_RETRY);
+        return Refusal::not_run("engines_overloaded", NOT_ADMITTED_RETRY_DELAY);
     };
     log::info!(
         "event=turn_turned_away request={} program={program} service={} priority={} \
