--- a/src/gateway/call/mod.rs
+++ b/src/gateway/call/mod.rs
@@ -63,9 +63,9 @@
     status: u16,
     upstream: Option<UpstreamId>,
     /// Time until the first byte of the answer's body was passed on.
-    first: Option<Duration>,
+    first_byte_after: Option<Duration>,
     /// Whether the caller's connection is good for another request.
-    keep: bool,
+    keep_alive: bool,
 }
 
 impl CallContext {
@@ -76,8 +76,8 @@
 }
 
 impl CallEnd {
-    fn cut(outcome: &'static str, upstream: Option<UpstreamId>) -> Self {
-        Self { outcome, status: 0, upstream, first: None, keep: false }
+    fn aborted(outcome: &'static str, upstream: Option<UpstreamId>) -> Self {
+        Self { outcome, status: 0, upstream, first_byte_after: None, keep_alive: false }
     }
 }
 
@@ -100,20 +100,20 @@
         let progress = AttemptProgress::default();
         let end = tokio::select! {
             biased;
-            () = reader.closed() => CallEnd::cut("caller_left", None),
+            () = reader.closed() => CallEnd::aborted("caller_left", None),
             end = self.run_call(&mut call, &progress, writer) => end,
         };
-        self.note_end(&call, &end, &progress);
-        end.keep
+        self.record_end(&call, &end, &progress);
+        end.keep_alive
     }
 
-    fn note_end(&self, call: &CallContext, end: &CallEnd, progress: &AttemptProgress) {
+    fn record_end(&self, call: &CallContext, end: &CallEnd, progress: &AttemptProgress) {
         let elapsed = call.arrived.elapsed();
         let sample = CallSample {
             route: &call.route.name,
             outcome: end.outcome,
             elapsed,
-            first: end.first,
+            first: end.first_byte_after,
             tries: progress.tries.get(),
             sent_after: progress.sent_after.get(),
         };
@@ -134,7 +134,7 @@
             progress.coordinator.borrow().as_deref().unwrap_or("-"),
             progress.claimed_after.get().map_or(0, |waited| waited.as_millis()),
             progress.sent_after.get().map_or(0, |waited| waited.as_millis()),
-            end.first.map_or(0, |first| first.as_millis()),
+            end.first_byte_after.map_or(0, |first| first.as_millis()),
             elapsed.as_millis(),
             call.workspace_name(),
         );
@@ -182,23 +182,23 @@
             Ok(permit) => permit,
             Err(refusal) => return self.end_refused(&refusal, writer).await,
         };
-        let end = self.run_admitted(call, progress, writer).await;
+        let end = self.run_permitted(call, progress, writer).await;
         permit.release_if_unrun(progress);
         end
     }
 
     /// Runs a call for which there is room within its workspace's limit.
-    async fn run_admitted(
+    async fn run_permitted(
         self: &Rc<Self>,
         call: &mut CallContext,
         progress: &AttemptProgress,
         writer: &mut CallerWriter,
     ) -> CallEnd {
         let Some(scope) = call.scope else {
-            return self.send_on(call, None, progress, writer).await;
+            return self.forward_call(call, None, progress, writer).await;
         };
         match timeout_at(call.deadline, self.prepare_turn(call, scope, progress)).await {
-            Ok(Ok(turn)) => self.send_on(call, Some(turn), progress, writer).await,
+            Ok(Ok(turn)) => self.forward_call(call, Some(turn), progress, writer).await,
             Ok(Err(refusal)) => self.end_refused(&refusal, writer).await,
             Err(_) => {
                 let refusal = Refusal::not_run("store_slow", DEADLINE_RETRY_DELAY);
@@ -209,13 +209,19 @@
 
     async fn end_refused(&self, refusal: &Refusal, writer: &mut CallerWriter) -> CallEnd {
         self.metrics.refused(refusal.reason);
-        let keep = self.send_refusal(refusal, writer, false).await;
+        let keep_alive = self.send_refusal(refusal, writer, false).await;
         let status = refusal.status.as_u16();
-        CallEnd { outcome: refusal.reason, status, upstream: None, first: None, keep }
+        CallEnd {
+            outcome: refusal.reason,
+            status,
+            upstream: None,
+            first_byte_after: None,
+            keep_alive,
+        }
     }
 
     /// Sends a call to upstreams and its answer to the caller.
-    async fn send_on(
+    async fn forward_call(
         self: &Rc<Self>,
         call: &CallContext,
         turn: Option<TurnWork>,
@@ -238,7 +244,7 @@
         let relay = self.relay(call, answer, turn, progress, writer);
         match timeout_at(call.deadline, relay).await {
             Ok(end) => end,
-            Err(_) => CallEnd::cut("deadline_midway", Some(upstream)),
+            Err(_) => CallEnd::aborted("deadline_midway", Some(upstream)),
         }
     }
 }
--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -34,9 +34,9 @@
     /// Set where a stream may go on elsewhere, for which callers get whole events only.
     whole: Option<WholeEvents>,
     /// Time until the first byte of the body was passed on.
-    first: Option<Duration>,
+    first_byte_after: Option<Duration>,
     /// When the first bytes came of the answer that is being read.
-    first_at: Option<Instant>,
+    first_byte_at: Option<Instant>,
     /// Events that came before that answer.
     before: u64,
 }
@@ -47,8 +47,8 @@
         Self {
             events: EventParser::default(),
             whole: is_resumable.then(WholeEvents::default),
-            first: None,
-            first_at: None,
+            first_byte_after: None,
+            first_byte_at: None,
             before: 0,
         }
     }
@@ -60,7 +60,7 @@
 
     /// Forgets the part of an event that came before the answer broke off.
     fn restart(&mut self) {
-        self.first_at = None;
+        self.first_byte_at = None;
         self.before = self.events.events();
         if let Some(whole) = self.whole.as_mut() {
             whole.clear();
@@ -80,13 +80,13 @@
     ) -> CallEnd {
         let mut state = RelayState::new(call, &answer);
         if self.start_answer(&answer, writer).is_err() {
-            return CallEnd::cut("unwritable_head", Some(answer.choice.id));
+            return CallEnd::aborted("unwritable_head", Some(answer.choice.id));
         }
         loop {
             let error = match self.pass_on(call, &mut answer, &mut state, &mut turn, writer).await {
                 Ok(()) => break,
                 Err(RelayError::CallerLeft) => {
-                    return CallEnd::cut("caller_left", Some(answer.choice.id));
+                    return CallEnd::aborted("caller_left", Some(answer.choice.id));
                 }
                 Err(RelayError::Broken(error)) => error,
             };
@@ -123,8 +123,8 @@
                 let ended = state.is_whole();
                 return if ended { Ok(()) } else { Err(RelayError::Broken(AnswerError::Ended)) };
             };
-            if state.first_at.is_none() {
-                state.first_at = Some(Instant::now());
+            if state.first_byte_at.is_none() {
+                state.first_byte_at = Some(Instant::now());
                 answer.guard.record_first_byte();
             }
             let chunk = match state.whole.as_mut() {
@@ -141,7 +141,7 @@
             if let Some(turn) = turn.as_mut() {
                 turn.reservation.count(events * call.event_tokens);
             }
-            state.first.get_or_insert_with(|| call.arrived.elapsed());
+            state.first_byte_after.get_or_insert_with(|| call.arrived.elapsed());
             writer.chunk(chunk).await.map_err(|_| RelayError::CallerLeft)?;
         }
     }
@@ -204,31 +204,32 @@
         writer: &mut CallerWriter,
     ) -> CallEnd {
         let UpstreamAnswer { choice, connection, head, info, guard, .. } = answer;
-        let RelayState { events, first, first_at, before, .. } = state;
+        let RelayState { events, first_byte_after, first_byte_at, before, .. } = state;
         let (upstream, status) = (choice.id.clone(), head.status);
         guard.record(AttemptResult::Answered);
         // The cache of a previous incarnation is gone.
         if self.news.upstreams.borrow().has_incarnation(&upstream, choice.started_at) {
             self.note_resident(call, &upstream);
-            self.note_pace(&upstream, first_at, events.events() - before);
+            self.note_pace(&upstream, first_byte_at, events.events() - before);
         }
         self.pool.put(&choice.address, connection, info.keep_alive);
         if let Some(mut turn) = turn.filter(|_| status == StatusCode::OK) {
             if !events.is_whole() {
-                return CallEnd::cut("stream_torn", Some(upstream));
+                return CallEnd::aborted("stream_torn", Some(upstream));
             }
             turn.note_holder(call.head.line.as_ref(), &choice);
             if turn.is_kept() && !turn.keep(&choice, events, call.deadline).await {
-                return CallEnd::cut("turn_not_kept", Some(upstream));
+                return CallEnd::aborted("turn_not_kept", Some(upstream));
             }
         }
-        let keep = writer.finish().await.is_ok() && writer.keeps_alive() && !self.is_draining();
+        let keep_alive =
+            writer.finish().await.is_ok() && writer.keeps_alive() && !self.is_draining();
         CallEnd {
             outcome: "answered",
             status: status.as_u16(),
             upstream: Some(upstream),
-            first,
-            keep,
+            first_byte_after,
+            keep_alive,
         }
     }
 
@@ -238,16 +239,16 @@
             let refusal = Refusal::unknown(StatusCode::BAD_GATEWAY, "answer_broken");
             return self.end_refused(&refusal, writer).await;
         }
-        CallEnd::cut("answer_broken", Some(upstream))
+        CallEnd::aborted("answer_broken", Some(upstream))
     }
 
     /// Notes how fast an engine made its events. The time to the first one depends on the prompt,
     /// and that of a plain service on the request; neither tells about the upstream.
-    fn note_pace(&self, upstream: &UpstreamId, first_at: Option<Instant>, events: u64) {
+    fn note_pace(&self, upstream: &UpstreamId, first_byte_at: Option<Instant>, events: u64) {
         let paced = self.settings.uses(GatewayMechanism::PaceAvoidance);
-        let first_at = first_at.filter(|_| paced && events >= MIN_LATENCY_EVENTS);
-        let Some(first_at) = first_at else { return };
-        let millis = first_at.elapsed().as_secs_f64() * 1e3 / (events - 1) as f64;
+        let first_byte_at = first_byte_at.filter(|_| paced && events >= MIN_LATENCY_EVENTS);
+        let Some(first_byte_at) = first_byte_at else { return };
+        let millis = first_byte_at.elapsed().as_secs_f64() * 1e3 / (events - 1) as f64;
         self.news.upstreams.borrow_mut().observe_latency(upstream, millis, Instant::now());
     }
 
