--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -32,13 +32,13 @@
 struct RelayState {
     events: EventParser,
     /// Set where a stream may go on elsewhere, for which callers get whole events only.
-    whole: Option<WholeEvents>,
+    complete_events: Option<WholeEvents>,
     /// Time until the first byte of the body was passed on.
     first_byte_after: Option<Duration>,
     /// When the first bytes came of the answer that is being read.
     first_byte_at: Option<Instant>,
     /// Events that came before that answer.
-    before: u64,
+    earlier_events: u64,
 }
 
 impl RelayState {
@@ -46,24 +46,24 @@
         let is_resumable = call.route.is_resumable && answer.is_event_stream();
         Self {
             events: EventParser::default(),
-            whole: is_resumable.then(WholeEvents::default),
+            complete_events: is_resumable.then(WholeEvents::default),
             first_byte_after: None,
             first_byte_at: None,
-            before: 0,
+            earlier_events: 0,
         }
     }
 
     /// Whether the body may end here.
-    fn is_whole(&self) -> bool {
-        self.whole.as_ref().is_none_or(WholeEvents::is_empty)
+    fn is_complete(&self) -> bool {
+        self.complete_events.as_ref().is_none_or(WholeEvents::is_empty)
     }
 
     /// Forgets the part of an event that came before the answer broke off.
-    fn restart(&mut self) {
+    fn reset_for_resume(&mut self) {
         self.first_byte_at = None;
-        self.before = self.events.events();
-        if let Some(whole) = self.whole.as_mut() {
-            whole.clear();
+        self.earlier_events = self.events.events();
+        if let Some(events) = self.complete_events.as_mut() {
+            events.clear();
         }
     }
 }
@@ -83,13 +83,14 @@
             return CallEnd::aborted("unwritable_head", Some(answer.choice.id));
         }
         loop {
-            let error = match self.pass_on(call, &mut answer, &mut state, &mut turn, writer).await {
-                Ok(()) => break,
-                Err(RelayError::CallerLeft) => {
-                    return CallEnd::aborted("caller_left", Some(answer.choice.id));
-                }
-                Err(RelayError::Broken(error)) => error,
-            };
+            let error =
+                match self.forward_body(call, &mut answer, &mut state, &mut turn, writer).await {
+                    Ok(()) => break,
+                    Err(RelayError::CallerLeft) => {
+                        return CallEnd::aborted("caller_left", Some(answer.choice.id));
+                    }
+                    Err(RelayError::Broken(error)) => error,
+                };
             answer = match self.resume(call, answer, &error, &mut state, progress, writer).await {
                 Ok(next) => next,
                 Err(upstream) => return self.end_broken(upstream, writer).await,
@@ -110,7 +111,7 @@
     }
 
     /// Passes on an answer's body until its end.
-    async fn pass_on(
+    async fn forward_body(
         &self,
         call: &CallContext,
         answer: &mut UpstreamAnswer,
@@ -120,22 +121,22 @@
     ) -> Result<(), RelayError> {
         loop {
             let Some(chunk) = answer.next_chunk().await.map_err(RelayError::Broken)? else {
-                let ended = state.is_whole();
+                let ended = state.is_complete();
                 return if ended { Ok(()) } else { Err(RelayError::Broken(AnswerError::Ended)) };
             };
             if state.first_byte_at.is_none() {
                 state.first_byte_at = Some(Instant::now());
                 answer.guard.record_first_byte();
             }
-            let chunk = match state.whole.as_mut() {
-                Some(whole) => whole.push(&chunk),
+            let chunk = match state.complete_events.as_mut() {
+                Some(events) => events.push(&chunk),
                 None => chunk,
             };
             if chunk.is_empty() {
                 continue;
             }
             let events = state.events.push(&chunk);
-            if state.whole.is_some() && state.events.is_disordered() {
+            if state.complete_events.is_some() && state.events.is_disordered() {
                 return Err(RelayError::Broken(AnswerError::Foreign));
             }
             if let Some(turn) = turn.as_mut() {
@@ -169,10 +170,10 @@
         drop((connection, guard));
         let last = state.events.last_id().cloned();
         let is_known = state.events.events() == 0 || last.is_some();
-        if state.whole.is_none() || !is_known || state.events.is_disordered() {
+        if state.complete_events.is_none() || !is_known || state.events.is_disordered() {
             return Err(choice.id);
         }
-        state.restart();
+        state.reset_for_resume();
         progress.last_event.replace(last.clone());
         let next = self.attempt_resume(call, &choice, progress).await.map_err(|refusal| {
             log::info!("event=stream_not_resumed request={} reason={}", call.id, refusal.reason);
@@ -204,13 +205,13 @@
         writer: &mut CallerWriter,
     ) -> CallEnd {
         let UpstreamAnswer { choice, connection, head, info, guard, .. } = answer;
-        let RelayState { events, first_byte_after, first_byte_at, before, .. } = state;
+        let RelayState { events, first_byte_after, first_byte_at, earlier_events, .. } = state;
         let (upstream, status) = (choice.id.clone(), head.status);
         guard.record(AttemptResult::Answered);
         // The cache of a previous incarnation is gone.
         if self.news.upstreams.borrow().has_incarnation(&upstream, choice.started_at) {
-            self.note_resident(call, &upstream);
-            self.note_pace(&upstream, first_byte_at, events.events() - before);
+            self.record_resident_blocks(call, &upstream);
+            self.record_event_latency(&upstream, first_byte_at, events.events() - earlier_events);
         }
         self.pool.put(&choice.address, connection, info.keep_alive);
         if let Some(mut turn) = turn.filter(|_| status == StatusCode::OK) {
@@ -244,16 +245,21 @@
 
     /// Notes how fast an engine made its events. The time to the first one depends on the prompt,
     /// and that of a plain service on the request; neither tells about the upstream.
-    fn note_pace(&self, upstream: &UpstreamId, first_byte_at: Option<Instant>, events: u64) {
-        let paced = self.settings.uses(GatewayMechanism::PaceAvoidance);
-        let first_byte_at = first_byte_at.filter(|_| paced && events >= MIN_LATENCY_EVENTS);
+    fn record_event_latency(
+        &self,
+        upstream: &UpstreamId,
+        first_byte_at: Option<Instant>,
+        events: u64,
+    ) {
+        let enabled = self.settings.uses(GatewayMechanism::PaceAvoidance);
+        let first_byte_at = first_byte_at.filter(|_| enabled && events >= MIN_LATENCY_EVENTS);
         let Some(first_byte_at) = first_byte_at else { return };
         let millis = first_byte_at.elapsed().as_secs_f64() * 1e3 / (events - 1) as f64;
         self.news.upstreams.borrow_mut().observe_latency(upstream, millis, Instant::now());
     }
 
     /// Notes what the engine's memory now holds.
-    fn note_resident(&self, call: &CallContext, upstream: &UpstreamId) {
+    fn record_resident_blocks(&self, call: &CallContext, upstream: &UpstreamId) {
         if !self.settings.uses(GatewayMechanism::PromptPlacement) {
             return;
         }
