--- a/src/gateway/call/mod.rs
+++ b/src/gateway/call/mod.rs
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 use tokio::time::{Instant, timeout_at};
 
-use self::turn::TurnWork;
+use self::turn::ActiveTurn;
 use super::Gateway;
 use super::attempt::AttemptProgress;
 use super::dialect::CallHead;
@@ -224,7 +224,7 @@
     async fn forward_call(
         self: &Rc<Self>,
         call: &CallContext,
-        turn: Option<TurnWork>,
+        turn: Option<ActiveTurn>,
         progress: &AttemptProgress,
         writer: &mut CallerWriter,
     ) -> CallEnd {
--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use super::prepare::end_to_end;
-use super::turn::TurnWork;
+use super::turn::ActiveTurn;
 use super::{CallContext, CallEnd};
 use crate::core::ids::UpstreamId;
 use crate::core::upstreams::AttemptResult;
@@ -74,7 +74,7 @@
         self: &Rc<Self>,
         call: &CallContext,
         mut answer: UpstreamAnswer,
-        mut turn: Option<TurnWork>,
+        mut turn: Option<ActiveTurn>,
         progress: &AttemptProgress,
         writer: &mut CallerWriter,
     ) -> CallEnd {
@@ -116,7 +116,7 @@
         call: &CallContext,
         answer: &mut UpstreamAnswer,
         state: &mut RelayState,
-        turn: &mut Option<TurnWork>,
+        turn: &mut Option<ActiveTurn>,
         writer: &mut CallerWriter,
     ) -> Result<(), RelayError> {
         loop {
@@ -201,7 +201,7 @@
         call: &CallContext,
         answer: UpstreamAnswer,
         state: RelayState,
-        turn: Option<TurnWork>,
+        turn: Option<ActiveTurn>,
         writer: &mut CallerWriter,
     ) -> CallEnd {
         let UpstreamAnswer { choice, connection, head, info, guard, .. } = answer;
@@ -218,8 +218,8 @@
             if !events.is_whole() {
                 return CallEnd::aborted("stream_torn", Some(upstream));
             }
-            turn.note_holder(call.head.line.as_ref(), &choice);
-            if turn.is_kept() && !turn.keep(&choice, events, call.deadline).await {
+            turn.record_holder(call.head.line.as_ref(), &choice);
+            if turn.is_persisted() && !turn.persist(&choice, events, call.deadline).await {
                 return CallEnd::aborted("turn_not_kept", Some(upstream));
             }
         }
--- a/src/gateway/call/turn.rs
+++ b/src/gateway/call/turn.rs
@@ -38,7 +38,7 @@
 const NOT_ADMITTED_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// The part of a call that belongs to a program's history.
-pub(super) struct TurnWork {
+pub(super) struct ActiveTurn {
     scope: TurnScope,
     previous: Option<TurnId>,
     /// The program that made it, if it is another one.
@@ -58,15 +58,15 @@
     /// None if the call names no program.
     fn of(call: &CallContext) -> Option<Self> {
         let workspace = call.workspace.as_ref().map(|workspace| &workspace.name);
-        let own = |name: &str| qualified_name(workspace, name);
+        let qualify = |name: &str| qualified_name(workspace, name);
         Some(Self {
-            program: own(call.head.program.as_deref()?),
-            turn: own(&call.id),
-            previous: call.head.previous.as_deref().map(own),
+            program: qualify(call.head.program.as_deref()?),
+            turn: qualify(&call.id),
+            previous: call.head.previous.as_deref().map(qualify),
         })
     }
 
-    fn longest(&self) -> usize {
+    fn max_len(&self) -> usize {
         let previous = self.previous.as_ref().map_or(0, |previous| previous.len());
         self.program.len().max(self.turn.len()).max(previous)
     }
@@ -79,25 +79,25 @@
         call: &mut CallContext,
         scope: TurnScope,
         progress: &AttemptProgress,
-    ) -> Result<TurnWork, Refusal> {
-        let bad = |reason| Refusal::rejected(StatusCode::BAD_REQUEST, reason);
-        let names = TurnNames::of(call).ok_or_else(|| bad("no_program"))?;
-        if names.longest() > MAX_NAME_BYTES {
-            return Err(bad("name_too_long"));
+    ) -> Result<ActiveTurn, Refusal> {
+        let bad_request = |reason| Refusal::rejected(StatusCode::BAD_REQUEST, reason);
+        let names = TurnNames::of(call).ok_or_else(|| bad_request("no_program"))?;
+        if names.max_len() > MAX_NAME_BYTES {
+            return Err(bad_request("name_too_long"));
         }
         let reply = match scope {
             TurnScope::History if names.previous.is_some() => AdmissionReply::Admitted,
             TurnScope::History | TurnScope::Tokens => self.admit(call, &names.program),
         };
-        let is_shut = reply != AdmissionReply::Admitted;
-        if is_shut && scope == TurnScope::History {
-            return Err(turned_away(call, &names.program, reply));
+        let is_rejected = reply != AdmissionReply::Admitted;
+        if is_rejected && scope == TurnScope::History {
+            return Err(admission_refusal(call, &names.program, reply));
         }
         // Only the coordinator knows whether a turn without a history is its program's first.
-        let claim = self.turn_claim(call, &names, scope, is_shut);
+        let claim = self.turn_claim(call, &names, scope, is_rejected);
         let claimed =
             self.claim_turn(call, claim, progress).await.map_err(|error| match error {
-                ClaimError::NotAdmitted => turned_away(call, &names.program, reply),
+                ClaimError::NotAdmitted => admission_refusal(call, &names.program, reply),
                 error => self.claim_refusal(call, &names.program, error),
             })?;
         let ClaimedTurn { chain, holder, reservation } = claimed;
@@ -115,7 +115,7 @@
             }
         }
         let previous = names.previous;
-        Ok(TurnWork { scope, previous, origin: chain.origin, input, reservation })
+        Ok(ActiveTurn { scope, previous, origin: chain.origin, input, reservation })
     }
 
     /// Whether a program's first turn is let in: not while engines have far more than they can do.
@@ -176,12 +176,12 @@
         claim: TurnClaim,
         progress: &AttemptProgress,
     ) -> Result<ClaimedTurn, ClaimError> {
-        let limit = call.deadline - CLAIM_TIMEOUT_MARGIN.min(call.route.timeout);
+        let claim_deadline = call.deadline - CLAIM_TIMEOUT_MARGIN.min(call.route.timeout);
         let coordinator = self.coordinator(&claim.program);
         if let TurnCoordinator::Peer(peer) = &coordinator {
             progress.coordinator.replace(Some(peer.clone()));
         }
-        let claimed = self.claim_through_outage(call, coordinator, claim, limit).await;
+        let claimed = self.claim_with_outage_wait(call, coordinator, claim, claim_deadline).await;
         progress.claimed_after.set(Some(call.arrived.elapsed()));
         self.metrics.reserved(match &claimed {
             Ok(_) => "reserved",
@@ -195,29 +195,30 @@
 
     /// Claims a turn; if the whole store is away, as soon as it is back, for as long as the caller has
     /// patience.
-    async fn claim_through_outage(
+    async fn claim_with_outage_wait(
         &self,
         call: &CallContext,
         coordinator: TurnCoordinator,
         claim: TurnClaim,
-        limit: Instant,
+        claim_deadline: Instant,
     ) -> Result<ClaimedTurn, ClaimError> {
         if !self.settings.uses(GatewayMechanism::OutageWait) {
-            return self.turns.claim(coordinator, claim, limit).await;
+            return self.turns.claim(coordinator, claim, claim_deadline).await;
         }
-        let time = call.deadline.saturating_duration_since(call.arrived);
-        let patience = call.arrived + time.mul_f64(MAX_OUTAGE_WAIT_SHARE);
+        let timeout = call.deadline.saturating_duration_since(call.arrived);
+        let outage_deadline = call.arrived + timeout.mul_f64(MAX_OUTAGE_WAIT_SHARE);
         loop {
             if self.store.outage().is_some()
-                && timeout_at(patience, self.store.reachable()).await.is_err()
+                && timeout_at(outage_deadline, self.store.reachable()).await.is_err()
             {
                 return Err(ClaimError::Store(StoreError::Unavailable));
             }
-            let claimed = self.turns.claim(coordinator.clone(), claim.clone(), limit).await;
-            let away = matches!(claimed, Err(ClaimError::Store(_)))
+            let claimed =
+                self.turns.claim(coordinator.clone(), claim.clone(), claim_deadline).await;
+            let should_retry = matches!(claimed, Err(ClaimError::Store(_)))
                 && self.store.outage().is_some()
-                && Instant::now() < patience;
-            if !away {
+                && Instant::now() < outage_deadline;
+            if !should_retry {
                 return claimed;
             }
         }
@@ -257,7 +258,7 @@
 }
 
 /// The refusal of a program's first turn.
-fn turned_away(call: &CallContext, program: &ProgramName, reply: AdmissionReply) -> Refusal {
+fn admission_refusal(call: &CallContext, program: &ProgramName, reply: AdmissionReply) -> Refusal {
     let AdmissionReply::Rejected { retry_after, admitted_fraction: share, excess } = reply else {
         return Refusal::not_run("engines_overloaded", NOT_ADMITTED_RETRY_DELAY);
     };
@@ -273,9 +274,9 @@
     Refusal::not_run("engines_overloaded", retry_after)
 }
 
-impl TurnWork {
+impl ActiveTurn {
     /// Notes which engine holds what the next turn of the line begins with.
-    pub(super) fn note_holder(&mut self, line: Option<&BranchName>, choice: &UpstreamChoice) {
+    pub(super) fn record_holder(&mut self, line: Option<&BranchName>, choice: &UpstreamChoice) {
         self.reservation.note_holder(PrefixHolder {
             line: line.cloned(),
             upstream: choice.id.clone(),
@@ -284,19 +285,19 @@
     }
 
     /// Whether the turn's end waits until its record is durable.
-    pub(super) fn is_kept(&self) -> bool {
+    pub(super) fn is_persisted(&self) -> bool {
         self.scope == TurnScope::History
     }
 
     /// Makes a turn durable that has ended whole; false if that failed.
-    pub(super) async fn keep(
+    pub(super) async fn persist(
         self,
         choice: &UpstreamChoice,
         events: EventParser,
-        limit: Instant,
+        deadline: Instant,
     ) -> bool {
         let record = self.record(choice, events);
-        self.reservation.complete(record, limit).await
+        self.reservation.complete(record, deadline).await
     }
 
     fn record(&self, choice: &UpstreamChoice, events: EventParser) -> TurnRecord {
