--- a/src/gateway/call/access.rs
+++ b/src/gateway/call/access.rs
@@ -51,15 +51,15 @@
         let Some(table) = self.news.routes() else {
             return Err(Refusal::not_run("no_routes_yet", NO_ROUTES_RETRY_DELAY));
         };
-        if !self.trusts_keys(&table).await {
+        if !self.has_current_keys(&table).await {
             return Err(Refusal::not_run("keys_uncertain", NO_ROUTES_RETRY_DELAY));
         }
-        if let Ok(grant) = grant(&table, request, key) {
+        if let Ok(grant) = find_grant(&table, request, key) {
             return Ok(grant);
         }
-        let fresh = self.news.refresh_routes().await;
+        let is_current = self.news.refresh_routes().await;
         let table = self.news.routes().unwrap_or(table);
-        grant(&table, request, key).map_err(|denial| match fresh {
+        find_grant(&table, request, key).map_err(|denial| match is_current {
             true => denial.refusal(),
             false => Refusal::not_run("routes_uncertain", NO_ROUTES_RETRY_DELAY),
         })
@@ -68,15 +68,15 @@
     /// Whether the keys known here still count. Where the operator asks for it, an instance that has
     /// not heard of the store for longer than a key may outlive its end serves nobody who needs one:
     /// cut off, it would go on serving whoever was locked out.
-    async fn trusts_keys(&self, table: &RouteTable) -> bool {
-        let Some(limit) = self.settings.strict_key_age() else { return true };
+    async fn has_current_keys(&self, table: &RouteTable) -> bool {
+        let Some(max_age) = self.settings.strict_key_age() else { return true };
         table.workspaces().is_none()
-            || self.news.routes_age() <= limit
+            || self.news.routes_age() <= max_age
             || self.news.refresh_routes().await
     }
 }
 
-fn grant(
+fn find_grant(
     table: &Rc<RouteTable>,
     request: &CallerRequest,
     key: Option<&ApiKey>,
--- a/src/gateway/call/prepare.rs
+++ b/src/gateway/call/prepare.rs
@@ -35,19 +35,19 @@
 ];
 
 /// Removes what concerns only the connection a message came on.
-pub(super) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+pub(super) fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let nominated: Vec<Box<str>> = headers
         .get_all(CONNECTION)
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase().into())
         .collect();
-    let kept = |name: &HeaderName| {
+    let is_end_to_end = |name: &HeaderName| {
         let name = name.as_str();
         !HOP_HEADERS.contains(&name) && !nominated.iter().any(|hop| **hop == *name)
     };
     let mut result = HeaderMap::with_capacity(headers.len());
-    for (name, value) in headers.iter().filter(|(name, _)| kept(name)) {
+    for (name, value) in headers.iter().filter(|(name, _)| is_end_to_end(name)) {
         result.append(name.clone(), value.clone());
     }
     result
@@ -87,24 +87,25 @@
             let refusal = Refusal::rejected(StatusCode::BAD_REQUEST, "no_request_id");
             return Err(fail(refusal));
         }
-        let wait = head.deadline.unwrap_or(route.timeout).min(route.timeout);
-        let deadline = arrived + wait;
-        let limit = table.limits.body_bytes.min(self.settings.body_bytes());
-        let body = reader.body(&request, writer, limit, deadline).await.map_err(|error| {
-            let refusal = Refusal::unreadable(&error);
-            fail(refusal.unwrap_or(Refusal::rejected(StatusCode::BAD_REQUEST, "broken_body")))
-        })?;
+        let timeout = head.deadline.unwrap_or(route.timeout).min(route.timeout);
+        let deadline = arrived + timeout;
+        let max_body_bytes = table.limits.body_bytes.min(self.settings.body_bytes());
+        let body =
+            reader.body(&request, writer, max_body_bytes, deadline).await.map_err(|error| {
+                let refusal = Refusal::unreadable(&error);
+                fail(refusal.unwrap_or(Refusal::rejected(StatusCode::BAD_REQUEST, "broken_body")))
+            })?;
         let Some(service) = route.service(random()).cloned() else {
             return Err(fail(Refusal::not_run("route_without_service", NO_ROUTES_RETRY_DELAY)));
         };
-        let own_rank = workspace.as_ref().and_then(|workspace| workspace.priority);
-        let rank = own_rank.unwrap_or(route.priority);
+        let workspace_rank = workspace.as_ref().and_then(|workspace| workspace.priority);
+        let rank = workspace_rank.unwrap_or(route.priority);
         let engine = table.service(&service).and_then(|spec| spec.engine.as_ref());
         let call = CallContext {
             id: id.clone(),
             method: request.method.clone(),
             target: request.target.clone(),
-            headers: end_to_end(&request.headers),
+            headers: end_to_end_headers(&request.headers),
             body,
             priority: engine.map(|_| rank.min(9)),
             rank,
--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 
-use super::prepare::end_to_end;
+use super::prepare::end_to_end_headers;
 use super::turn::ActiveTurn;
 use super::{CallContext, CallEnd};
 use crate::core::ids::UpstreamId;
@@ -104,7 +104,7 @@
         answer: &UpstreamAnswer,
         writer: &mut CallerWriter,
     ) -> std::io::Result<()> {
-        let headers = end_to_end(&answer.head.headers);
+        let headers = end_to_end_headers(&answer.head.headers);
         // The declared length is not passed on: a turn's end must be withheld, and a body that
         // breaks off must not look complete.
         writer.start(answer.head.status, headers, self.is_draining())
