--- a/src/gateway/call/access.rs
+++ b/src/gateway/call/access.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be served: its route, and the workspace whose key it carries.
+//! Authorizes requests: finds the route and the workspace of the request's key.
 
 use std::rc::Rc;
 
@@ -11,15 +11,14 @@
 use crate::gateway::http::CallerRequest;
 use crate::gateway::refusal::Refusal;
 
-/// What a configuration grants a request.
 pub(super) struct CallGrant {
     pub(super) table: Rc<RouteTable>,
     pub(super) route: Rc<RouteSpec>,
-    /// None where nobody has to show a key.
+    /// `None` if the request was granted without a valid key.
     pub(super) workspace: Option<Rc<WorkspaceSpec>>,
 }
 
-/// Why a configuration does not allow a request; a newer one may.
+/// Holds for one version of the configuration; a newer one may allow the request.
 #[derive(Debug, Clone, Copy)]
 enum CallDenial {
     NoSuchRoute,
@@ -38,11 +37,8 @@
 }
 
 impl Gateway {
-    /// Finds the route and the workspace of a request.
-    ///
-    /// What the configuration here does not allow is denied only if that is certainly the newest one:
-    /// an instance whose news are late would deny a route or a key that was added meanwhile, and its
-    /// caller would not try again.
+    /// Denies a request only by a configuration that is confirmed to be the newest: callers do not
+    /// retry a denial, and the route or key may have been added since the last update received here.
     pub(super) async fn authorize(
         &self,
         request: &CallerRequest,
@@ -65,9 +61,8 @@
         })
     }
 
-    /// Whether the keys known here still count. Where the operator asks for it, an instance that has
-    /// not heard of the store for longer than a key may outlive its end serves nobody who needs one:
-    /// cut off, it would go on serving whoever was locked out.
+    /// With a strict key age, an instance that is cut off from the store for longer refuses requests
+    /// where keys are in use, as they may have been revoked.
     async fn has_current_keys(&self, table: &RouteTable) -> bool {
         let Some(max_age) = self.settings.strict_key_age() else { return true };
         table.workspaces().is_none()
--- a/src/gateway/call/prepare.rs
+++ b/src/gateway/call/prepare.rs
@@ -1,4 +1,4 @@
-//! What a request is, where it goes and until when: everything before it is sent on.
+//! Prepares a request for its upstream: headers, route, deadline, body and service.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,10 +18,10 @@
 use crate::gateway::http::{CallerReader, CallerRequest, CallerWriter};
 use crate::gateway::refusal::Refusal;
 
-/// When a caller may come back to an instance that has no routes yet: they are read in a second.
+/// Covers the first read of the routes after a start.
 pub(super) const NO_ROUTES_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Headers that concern one connection only (RFC 9110, 7.6.1), and those the codec writes.
-const HOP_HEADERS: [&str; 10] = [
+/// Hop-by-hop headers (RFC 9110, 7.6.1) and those that the codec writes.
+const HOP_BY_HOP_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -34,7 +34,7 @@
     "content-length",
 ];
 
-/// Removes what concerns only the connection a message came on.
+/// Removes hop-by-hop headers and those named by `Connection`.
 pub(super) fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let nominated: Vec<Box<str>> = headers
         .get_all(CONNECTION)
@@ -44,7 +44,7 @@
         .collect();
     let is_end_to_end = |name: &HeaderName| {
         let name = name.as_str();
-        !HOP_HEADERS.contains(&name) && !nominated.iter().any(|hop| **hop == *name)
+        !HOP_BY_HOP_HEADERS.contains(&name) && !nominated.iter().any(|hop| **hop == *name)
     };
     let mut result = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers.iter().filter(|(name, _)| is_end_to_end(name)) {
@@ -53,7 +53,7 @@
     result
 }
 
-/// A budget holds wherever a program names one, also where its history is not kept.
+/// A program's token budget is enforced even on routes that keep no history.
 fn turn_scope(head: &CallHead, route: &RouteSpec) -> Option<TurnScope> {
     if route.keeps_history {
         return Some(TurnScope::History);
@@ -63,7 +63,6 @@
 }
 
 impl Gateway {
-    /// Finds the route of a request and reads its body.
     pub(super) async fn prepare(
         self: &Rc<Self>,
         request: CallerRequest,
