--- a/src/gateway/call/mod.rs
+++ b/src/gateway/call/mod.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to the end of its answer.
+//! Serves one request of a caller, from its head to the end of the response.
 
 mod access;
 mod prepare;
@@ -26,50 +26,46 @@
 use crate::core::turns::TurnScope;
 use crate::core::workspaces::WorkspaceSpec;
 
-/// When a caller may come back whose request found no place before its deadline.
 const DEADLINE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Everything that is decided about a request before it is sent on.
 pub(crate) struct CallContext {
     pub(crate) id: RequestId,
     pub(crate) head: CallHead,
     pub(crate) method: Method,
     pub(crate) target: Box<str>,
-    /// The caller's headers without those of its connection.
+    /// Without hop-by-hop headers.
     pub(crate) headers: HeaderMap,
-    /// What the upstream is sent; a turn's chain comes before its input once it has been read.
+    /// Preceded by the chain of a turn once that has been read.
     pub(crate) body: Bytes,
     pub(crate) route: Rc<RouteSpec>,
     pub(crate) service: ServiceName,
     pub(crate) arrived: Instant,
     pub(crate) deadline: Instant,
-    /// What the upstream is told, if it knows an order.
+    /// Sent to engines only; plain services have no priorities.
     pub(crate) priority: Option<u8>,
-    /// Its rank here: the workspace's, else the route's; 0 is the most urgent.
+    /// Priority of the workspace, else of the route; 0 is the most urgent.
     pub(crate) rank: u8,
-    /// Whose request it is; none where nobody had to show a key.
+    /// `None` if the request was granted without a valid key.
     pub(crate) workspace: Option<Rc<WorkspaceSpec>>,
-    /// The engine that holds the chain.
+    /// The engine whose cache holds the chain.
     pub(crate) holder: Option<UpstreamId>,
-    /// Tokens in each event of the engine's stream.
+    /// Tokens per event of the engine's stream.
     event_tokens: Tokens,
-    /// What the system keeps of it; none if it is no turn of a program.
+    /// `None` if the call is not a turn of a program.
     pub(crate) scope: Option<TurnScope>,
 }
 
-/// How a call ended, for the log and the metrics.
 struct CallEnd {
     outcome: &'static str,
     status: u16,
     upstream: Option<UpstreamId>,
-    /// Time until the first byte of the answer's body was passed on.
+    /// Time from the request's arrival until the first byte of the body was forwarded.
     first_byte_after: Option<Duration>,
-    /// Whether the caller's connection is good for another request.
+    /// The caller's connection can carry another request.
     keep_alive: bool,
 }
 
 impl CallContext {
-    /// For logs.
     pub(crate) fn workspace_name(&self) -> &str {
         self.workspace.as_ref().map_or("-", |workspace| &workspace.name)
     }
@@ -82,7 +78,7 @@
 }
 
 impl Gateway {
-    /// Answers one request; false if the connection must be closed.
+    /// Returns false if the connection must be closed.
     pub(crate) async fn serve_call(
         self: &Rc<Self>,
         request: CallerRequest,
@@ -134,13 +130,12 @@
             progress.coordinator.borrow().as_deref().unwrap_or("-"),
             progress.claimed_after.get().map_or(0, |waited| waited.as_millis()),
             progress.sent_after.get().map_or(0, |waited| waited.as_millis()),
-            end.first_byte_after.map_or(0, |first| first.as_millis()),
+            end.first_byte_after.map_or(0, |waited| waited.as_millis()),
             elapsed.as_millis(),
             call.workspace_name(),
         );
     }
 
-    /// Refuses a request for which no route was found or whose body could not be read.
     async fn refuse_unrouted(
         &self,
         id: &str,
@@ -156,7 +151,7 @@
             arrived.elapsed().as_millis()
         );
         self.metrics.refused(refusal.reason);
-        // What is left of the body would be taken for the next request.
+        // The rest of the body would be parsed as the next request.
         self.send_refusal(refusal, writer, true).await
     }
 
@@ -171,7 +166,6 @@
         sent.is_ok() && !close && writer.keeps_alive()
     }
 
-    /// Runs a prepared call and writes its answer.
     async fn run_call(
         self: &Rc<Self>,
         call: &mut CallContext,
@@ -187,7 +181,6 @@
         end
     }
 
-    /// Runs a call for which there is room within its workspace's limit.
     async fn run_permitted(
         self: &Rc<Self>,
         call: &mut CallContext,
@@ -220,7 +213,6 @@
         }
     }
 
-    /// Sends a call to upstreams and its answer to the caller.
     async fn forward_call(
         self: &Rc<Self>,
         call: &CallContext,
--- a/src/gateway/call/quota.rs
+++ b/src/gateway/call/quota.rs
@@ -1,4 +1,4 @@
-//! A call's place within its workspace's limit.
+//! Enforces the limit of a workspace before a call runs.
 
 use std::rc::Rc;
 
@@ -12,14 +12,14 @@
 use crate::gateway::quotas::{QuotaKeeper, QuotaOutcome, QuotaPlace};
 use crate::gateway::refusal::Refusal;
 
-/// The place of a call, if its workspace has a limit.
+/// Empty if the workspace of the call has no limit.
 pub(super) struct CallPermit {
     quotas: Rc<dyn QuotaKeeper>,
     permit: Option<QuotaPlace>,
 }
 
 impl CallPermit {
-    /// Gives the place back if no upstream has run the call: only what runs counts.
+    /// Only calls that may have run count against the limit.
     pub(super) fn release_if_unrun(mut self, progress: &AttemptProgress) {
         let unrun = !progress.may_have_run();
         if let Some(permit) = self.permit.take().filter(|_| unrun) {
@@ -29,8 +29,7 @@
 }
 
 impl Gateway {
-    /// Waits for a place within the workspace's limit, before anything is done for the call: a turn that
-    /// is refused must not cost writes of the store.
+    /// Comes before any other work for the call, so that a refused turn costs no writes to the store.
     pub(super) async fn acquire_permit(&self, call: &CallContext) -> Result<CallPermit, Refusal> {
         let quotas = self.quotas.clone();
         let limited =
@@ -38,7 +37,7 @@
         let Some((workspace, quota)) = limited else {
             return Ok(CallPermit { quotas, permit: None });
         };
-        // Whether a turn without a history is its program's first is known to the coordinator alone.
+        // Without a history only the coordinator knows whether a turn is its program's first.
         let opens = call.scope == Some(TurnScope::History) && call.head.previous.is_none();
         let request = QuotaRequest { opens };
         let reply = quotas.ask(&workspace.name, quota, request);
