--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -1,4 +1,4 @@
-//! Passes an upstream's answer on to the caller.
+//! Streams the response of an upstream to the caller and resumes it if the upstream fails.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,25 +19,24 @@
 use crate::gateway::refusal::Refusal;
 use crate::gateway::{Gateway, GatewayMechanism};
 
-/// Events of a stream whose pace says something about the engine.
+/// Shorter streams say little about the latency of an engine.
 const MIN_LATENCY_EVENTS: u64 = 4;
 
-/// How passing an answer on ended before its end.
 enum RelayError {
     CallerLeft,
     Broken(AnswerError),
 }
 
-/// What has passed of an answer.
+/// Progress of a response, over all upstreams that contributed to it.
 struct RelayState {
     events: EventParser,
-    /// Set where a stream may go on elsewhere, for which callers get whole events only.
+    /// Present for resumable streams, of which only complete events are forwarded.
     complete_events: Option<WholeEvents>,
-    /// Time until the first byte of the body was passed on.
+    /// Time from the request's arrival until the first byte of the body was forwarded.
     first_byte_after: Option<Duration>,
-    /// When the first bytes came of the answer that is being read.
+    /// Arrival of the first byte from the current upstream.
     first_byte_at: Option<Instant>,
-    /// Events that came before that answer.
+    /// Events received from earlier upstreams.
     earlier_events: u64,
 }
 
@@ -53,12 +52,12 @@
         }
     }
 
-    /// Whether the body may end here.
+    /// False in the middle of an event of a resumable stream.
     fn is_complete(&self) -> bool {
         self.complete_events.as_ref().is_none_or(WholeEvents::is_empty)
     }
 
-    /// Forgets the part of an event that came before the answer broke off.
+    /// Drops the incomplete event at the end of the broken response.
     fn reset_for_resume(&mut self) {
         self.first_byte_at = None;
         self.earlier_events = self.events.events();
@@ -69,7 +68,7 @@
 }
 
 impl Gateway {
-    /// Passes an answer on as it comes. A turn's end waits until the turn is durable.
+    /// The end of a turn's response is sent only after the turn is durable.
     pub(super) async fn relay(
         self: &Rc<Self>,
         call: &CallContext,
@@ -105,12 +104,11 @@
         writer: &mut CallerWriter,
     ) -> std::io::Result<()> {
         let headers = end_to_end_headers(&answer.head.headers);
-        // The declared length is not passed on: a turn's end must be withheld, and a body that
-        // breaks off must not look complete.
+        // The declared length is not forwarded: the end of a turn must be withheld, and a truncated
+        // body must not look complete.
         writer.start(answer.head.status, headers, self.is_draining())
     }
 
-    /// Passes on an answer's body until its end.
     async fn forward_body(
         &self,
         call: &CallContext,
@@ -147,7 +145,7 @@
         }
     }
 
-    /// Finds the rest of a stream that broke off; the upstream that did, if there is none.
+    /// Continues a broken stream; on failure returns the last upstream.
     async fn resume(
         self: &Rc<Self>,
         call: &CallContext,
@@ -166,7 +164,7 @@
             sent_at.elapsed().as_millis(),
             state.events.events()
         );
-        // The upstream drops the request when its connection closes.
+        // Upstreams cancel a request when its connection closes.
         drop((connection, guard));
         let last = state.events.last_id().cloned();
         let is_known = state.events.events() == 0 || last.is_some();
@@ -189,7 +187,7 @@
             next.choice.id,
             last.as_deref().unwrap_or("-")
         );
-        // Where nothing has left, the caller gets the headers of the upstream that answers.
+        // If nothing was sent yet, the caller gets the headers of the new upstream.
         if writer.take_back() && self.start_answer(&next, writer).is_err() {
             return Err(next.choice.id);
         }
@@ -208,7 +206,7 @@
         let RelayState { events, first_byte_after, first_byte_at, earlier_events, .. } = state;
         let (upstream, status) = (choice.id.clone(), head.status);
         guard.record(AttemptResult::Answered);
-        // The cache of a previous incarnation is gone.
+        // An upstream that restarted has lost its cache.
         if self.news.upstreams.borrow().has_incarnation(&upstream, choice.started_at) {
             self.record_resident_blocks(call, &upstream);
             self.record_event_latency(&upstream, first_byte_at, events.events() - earlier_events);
@@ -234,7 +232,7 @@
         }
     }
 
-    /// An answer that broke off is cut visibly, or answered as lost if nothing of it was sent.
+    /// Truncates a response that was partly sent, otherwise refuses the call.
     async fn end_broken(&self, upstream: UpstreamId, writer: &mut CallerWriter) -> CallEnd {
         if writer.take_back() {
             let refusal = Refusal::unknown(StatusCode::BAD_GATEWAY, "answer_broken");
@@ -243,8 +241,8 @@
         CallEnd::aborted("answer_broken", Some(upstream))
     }
 
-    /// Notes how fast an engine made its events. The time to the first one depends on the prompt,
-    /// and that of a plain service on the request; neither tells about the upstream.
+    /// Time per event after the first. The time to the first event depends on the prompt, and that of
+    /// a plain service on the request, so neither is a measure of the upstream.
     fn record_event_latency(
         &self,
         upstream: &UpstreamId,
@@ -258,7 +256,6 @@
         self.news.upstreams.borrow_mut().observe_latency(upstream, millis, Instant::now());
     }
 
-    /// Notes what the engine's memory now holds.
     fn record_resident_blocks(&self, call: &CallContext, upstream: &UpstreamId) {
         if !self.settings.uses(GatewayMechanism::PromptPlacement) {
             return;
@@ -271,14 +268,13 @@
 }
 
 impl UpstreamAnswer {
-    /// Whether it is a stream of events.
     fn is_event_stream(&self) -> bool {
         let kind = self.head.headers.get(CONTENT_TYPE).and_then(|kind| kind.to_str().ok());
         let is_events = kind.is_some_and(|kind| kind.starts_with("text/event-stream"));
         self.head.status == StatusCode::OK && is_events
     }
 
-    /// The next part of the body; none at its end.
+    /// `None` at the end of the body.
     async fn next_chunk(&mut self) -> Result<Option<Bytes>, AnswerError> {
         match self.body.take() {
             Some(body) if !body.is_empty() => Ok(Some(body)),
