--- a/src/gateway/call/turn.rs
+++ b/src/gateway/call/turn.rs
@@ -1,4 +1,4 @@
-//! What makes a call a turn of a program: its chain, its tokens, its record.
+//! Handles calls that are turns of a program: claims the turn, reads its chain and persists it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,30 +24,28 @@
 use crate::gateway::{Gateway, GatewayMechanism};
 use crate::node::platform::StoreError;
 
-/// When a caller may come back while the store is away. What lasts longer than a blip lasts for
-/// seconds: sooner, callers would have used up their tries before the store is back.
+/// Store outages last for seconds; a shorter delay would exhaust the caller's retries before the
+/// recovery.
 const STORE_RETRY_DELAY: Duration = Duration::from_secs(2);
-/// Part of the caller's time that a turn waits for a store that is away as a whole. Refused at once, a
-/// turn's tries would be used up early in an outage and its program lost; a caller that hears nothing for
-/// too long leaves.
+/// Share of the call's timeout that a turn waits for an unavailable store. An immediate refusal would
+/// exhaust the caller's retries early in an outage; a longer wait would make the caller disconnect.
 const MAX_OUTAGE_WAIT_SHARE: f64 = 0.375;
-/// Time left to the caller after a reservation is given up.
+/// Leaves time to send a refusal before the caller's deadline.
 const CLAIM_TIMEOUT_MARGIN: Duration = Duration::from_millis(200);
 
-/// When a new program may come back that a coordinator turned away unasked.
+/// Used if the coordinator rejects a program that this instance would admit.
 const NOT_ADMITTED_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// The part of a call that belongs to a program's history.
 pub(super) struct ActiveTurn {
     scope: TurnScope,
     previous: Option<TurnId>,
-    /// The program that made it, if it is another one.
+    /// The program that made the previous turn, if it is another one.
     origin: Option<ProgramName>,
     input: Bytes,
     pub(super) reservation: TurnReservation,
 }
 
-/// What the system calls a turn: its caller's names, kept apart by workspace.
+/// Names given by the caller, qualified by workspace.
 struct TurnNames {
     program: ProgramName,
     turn: TurnId,
@@ -55,7 +53,7 @@
 }
 
 impl TurnNames {
-    /// None if the call names no program.
+    /// `None` if the call names no program.
     fn of(call: &CallContext) -> Option<Self> {
         let workspace = call.workspace.as_ref().map(|workspace| &workspace.name);
         let qualify = |name: &str| qualified_name(workspace, name);
@@ -73,7 +71,7 @@
 }
 
 impl Gateway {
-    /// Reads the chain, sets the turn's tokens aside, and puts the chain before the call's input.
+    /// Reserves the turn's tokens and puts its chain before the call's input.
     pub(super) async fn prepare_turn(
         self: &Rc<Self>,
         call: &mut CallContext,
@@ -93,7 +91,7 @@
         if is_rejected && scope == TurnScope::History {
             return Err(admission_refusal(call, &names.program, reply));
         }
-        // Only the coordinator knows whether a turn without a history is its program's first.
+        // Without a history only the coordinator knows whether a turn is its program's first.
         let claim = self.turn_claim(call, &names, scope, is_rejected);
         let claimed =
             self.claim_turn(call, claim, progress).await.map_err(|error| match error {
@@ -118,7 +116,7 @@
         Ok(ActiveTurn { scope, previous, origin: chain.origin, input, reservation })
     }
 
-    /// Whether a program's first turn is let in: not while engines have far more than they can do.
+    /// Rejects first turns of programs while engines are overloaded.
     fn admit(&self, call: &CallContext, program: &ProgramName) -> AdmissionReply {
         if !self.settings.uses(GatewayMechanism::AdmissionGate) {
             return AdmissionReply::Admitted;
@@ -132,7 +130,7 @@
         self.gate.borrow_mut().admit(&request)
     }
 
-    /// The engine that holds the chain, unless it has started anew since.
+    /// `None` if the engine that ran the last turn has restarted since, which empties its cache.
     fn chain_holder(&self, chain: &TurnChain) -> Option<UpstreamId> {
         let last = chain.turns.last()?;
         let is_current =
@@ -154,7 +152,7 @@
             previous: names.previous.clone(),
             most: call.head.max_output.unwrap_or(0),
             budget: call.head.token_budget.unwrap_or(Tokens::MAX),
-            // It is kept from its end on, which is not written apart.
+            // Retention counts from the end of the turn, which is at the latest its deadline.
             retention: retention + call.deadline.saturating_duration_since(Instant::now()),
             scope,
             line: call.head.line.clone(),
@@ -169,7 +167,6 @@
         self.members.coordinator(program).map_or(TurnCoordinator::Here, TurnCoordinator::Peer)
     }
 
-    /// Claims the turn at the instance that coordinates its program, or here.
     async fn claim_turn(
         &self,
         call: &CallContext,
@@ -193,8 +190,7 @@
         claimed
     }
 
-    /// Claims a turn; if the whole store is away, as soon as it is back, for as long as the caller has
-    /// patience.
+    /// During an outage of the store, retries after its recovery until the outage deadline.
     async fn claim_with_outage_wait(
         &self,
         call: &CallContext,
@@ -249,7 +245,7 @@
         }
     }
 
-    /// Nothing was sent to an upstream, so the caller may come back.
+    /// The call has not been sent to an upstream, so the caller may retry.
     fn store_refusal(&self, error: &StoreError) -> Refusal {
         let outage = self.store.outage().unwrap_or_default();
         log::debug!("event=store_refusal error=\"{error}\" outage_ms={}", outage.as_millis());
@@ -257,7 +253,6 @@
     }
 }
 
-/// The refusal of a program's first turn.
 fn admission_refusal(call: &CallContext, program: &ProgramName, reply: AdmissionReply) -> Refusal {
     let AdmissionReply::Rejected { retry_after, admitted_fraction: share, excess } = reply else {
         return Refusal::not_run("engines_overloaded", NOT_ADMITTED_RETRY_DELAY);
@@ -275,7 +270,7 @@
 }
 
 impl ActiveTurn {
-    /// Notes which engine holds what the next turn of the line begins with.
+    /// Records the engine that holds the prompt prefix of the branch's next turn.
     pub(super) fn record_holder(&mut self, line: Option<&BranchName>, choice: &UpstreamChoice) {
         self.reservation.note_holder(PrefixHolder {
             line: line.cloned(),
@@ -284,12 +279,12 @@
         });
     }
 
-    /// Whether the turn's end waits until its record is durable.
+    /// The response ends only after the record of such a turn is durable.
     pub(super) fn is_persisted(&self) -> bool {
         self.scope == TurnScope::History
     }
 
-    /// Makes a turn durable that has ended whole; false if that failed.
+    /// Returns false if the record may not be durable.
     pub(super) async fn persist(
         self,
         choice: &UpstreamChoice,
