--- a/tests/gateway_calls.rs
+++ b/tests/gateway_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of services: what is sent again and what is not, whose answer it is, and bad input.
+//! Tests that the gateway forwards, retries and rejects calls of plain services.
 
 mod platform_standin;
 
@@ -11,19 +11,19 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, timeout};
 
-/// Tells both engines to misbehave once, so that whichever is chosen first does.
-fn act_first(deployment: &Deployment, act: &EngineAct) {
+/// Both engines get the fault, as either may be chosen first.
+fn inject_fault(deployment: &Deployment, act: &EngineAct) {
     for engine in &deployment.engines {
         engine.act(act.clone());
     }
 }
 
-/// The first upstream says that it did not run the call; only then may it go elsewhere.
+/// Guards against refusing a call that one upstream rejected and another can run.
 #[rstest]
 #[case::full(EngineAct::Full)]
 #[case::reused_address(EngineAct::Misdirected)]
 #[actix_rt::test]
-async fn an_unrun_call_is_tried_elsewhere(#[case] act: EngineAct) {
+async fn rejected_call_is_retried_at_another_upstream(#[case] act: EngineAct) {
     let deployment = Deployment::with_near_and_far_engine().await;
     deployment.engines[0].act(act);
     let answer = deployment.gateway().call(&call("book", "b1")).await;
@@ -32,12 +32,12 @@
     assert_eq!(deployment.runs().len(), 1);
 }
 
-/// The upstream runs a booking and its answer is lost: nobody may send it again, and the caller
-/// must not be told that it did not run. A lookup may be sent again, and is.
+/// Guards against a second run of a non-idempotent call whose response is lost, and against the
+/// failure of an idempotent one.
 #[actix_rt::test]
-async fn a_lost_answer_is_only_repeated_where_that_is_safe() {
+async fn call_with_a_lost_response_is_retried_only_if_idempotent() {
     let deployment = Deployment::start(1, 2).await;
-    act_first(&deployment, &EngineAct::LoseAnswer);
+    inject_fault(&deployment, &EngineAct::LoseAnswer);
     let booking = deployment.gateway().call(&call("book", "b1")).await;
     assert_eq!(booking.status(), 502);
     assert_eq!(deployment.runs().len(), 1);
@@ -46,23 +46,21 @@
     deployment.engines[0].act(EngineAct::LoseAnswer);
     let lookup = deployment.gateway().call(&call("read", "r1")).await;
     assert_eq!((lookup.status(), lookup.text()), (200, "done".to_owned()));
-    assert_eq!(deployment.runs().len(), 2, "it ran again at the other one");
+    assert_eq!(deployment.runs().len(), 2, "both upstreams ran it");
 }
 
-/// A late answer to somebody else's request comes first on the connection. It must not reach this
-/// caller, and its own answer must.
+/// Guards against forwarding a late response to an earlier request on the connection.
 #[actix_rt::test]
-async fn a_foreign_answer_is_skipped() {
+async fn late_response_to_another_request_is_skipped() {
     let deployment = Deployment::start(1, 1).await;
     deployment.engines[0].act(EngineAct::ForeignFirst);
     let answer = deployment.gateway().call(&call("book", "b1")).await;
     assert_eq!((answer.status(), answer.text()), (200, "mine".to_owned()));
 }
 
-/// Bytes follow a whole answer. The next request on that connection would take them for its own
-/// answer, so the connection must not be used again.
+/// Guards against parsing trailing bytes of one response as the response to the next request.
 #[actix_rt::test]
-async fn bytes_after_an_answer_end_the_connection() {
+async fn connection_with_trailing_bytes_is_not_reused() {
     let deployment = Deployment::start(1, 1).await;
     deployment.engines[0].act(EngineAct::Trailing);
     let mut wire = deployment.gateway().connect().await;
@@ -74,7 +72,7 @@
 }
 
 #[actix_rt::test]
-async fn an_answer_may_end_with_its_connection() {
+async fn response_without_length_ends_with_its_connection() {
     let deployment = Deployment::start(1, 1).await;
     deployment.engines[0].act(EngineAct::UntilClose);
     let answer = deployment.gateway().call(&call("book", "b1")).await;
@@ -82,7 +80,7 @@
 }
 
 #[actix_rt::test]
-async fn an_upstreams_failure_passes_unchanged() {
+async fn upstream_error_is_forwarded_unchanged() {
     let deployment = Deployment::start(1, 1).await;
     deployment.engines[0].act(EngineAct::Fail(500));
     let answer = deployment.gateway().call(&call("book", "b1")).await;
@@ -90,10 +88,9 @@
     assert_eq!(answer.text(), "failed");
 }
 
-/// A stream breaks off midway. What has come is passed on at once, and the end must show that the
-/// rest is missing.
+/// Guards against a truncated stream that looks complete to the caller.
 #[actix_rt::test]
-async fn a_torn_stream_is_visibly_cut() {
+async fn truncated_stream_is_visibly_incomplete() {
     let deployment = Deployment::start(1, 1).await;
     deployment.engines[0].act(EngineAct::CutAfter(EVENTS - 1));
     let answer = deployment.gateway().call(&turn("t1", "p", None, "x")).await;
@@ -101,13 +98,12 @@
     assert!(answer.text().contains("w2") && !answer.text().contains("w3"));
 }
 
-/// The caller leaves before the first byte, or in the middle of a stream. The upstream must see
-/// its connection end within half a second, or it would go on working for nobody.
+/// Guards against an upstream that keeps running a request whose caller has disconnected.
 #[rstest]
 #[case::before_the_first_byte(false)]
-#[case::midway(true)]
+#[case::mid_stream(true)]
 #[actix_rt::test]
-async fn the_upstream_is_freed_when_the_caller_leaves(#[case] midway: bool) {
+async fn upstream_connection_closes_when_the_caller_disconnects(#[case] mid_stream: bool) {
     let deployment = Deployment::start(1, 0).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("it is bound").to_string();
@@ -120,25 +116,29 @@
         if let Ok(accepted) = accepted {
             break Wire::new(accepted.expect("loopback accepts").0);
         }
-        // The engine is not known yet; the refusal is read, and the turn sent again.
+        // The gateway does not know the engine yet and refuses the turn.
         caller.read_message(true).await.expect("a refusal");
     };
     upstream.read_message(false).await.expect("the turn comes");
-    if midway {
+    if mid_stream {
         let head = "HTTP/1.1 200 OK\r\nmerlinsaddle-request-id: t1\r\n\
                     transfer-encoding: chunked\r\n\r\n10\r\nid: 1\ndata: w1\n\n\r\n";
         upstream.send(head.as_bytes()).await;
         caller.wait_for("w1").await;
     }
-    let left = Instant::now();
+    let disconnected_at = Instant::now();
     drop(caller);
     assert!(timeout(LIMIT, upstream.ends()).await.expect("the connection ends"));
-    assert!(left.elapsed() < Duration::from_millis(500), "it took {:?}", left.elapsed());
+    assert!(
+        disconnected_at.elapsed() < Duration::from_millis(500),
+        "it took {:?}",
+        disconnected_at.elapsed()
+    );
 }
 
-/// What only the system may set is dropped from the caller's head, and what it sets is there.
+/// Guards against callers that forge the headers reserved for the gateway.
 #[actix_rt::test]
-async fn the_systems_headers_are_its_own() {
+async fn reserved_headers_of_the_caller_are_replaced() {
     let deployment = Deployment::start(1, 1).await;
     let forged = "Merlinsaddle-Hold: h\r\nMerlinsaddle-Pin-Ms: 9\r\nKv-From: 1.2.3.4:5/6\r\n\
                   Merlinsaddle-Expect-Instance: forged\r\nX-Own: kept\r\nConnection: x-hop\r\n\
@@ -151,12 +151,12 @@
     for name in ["merlinsaddle-hold", "merlinsaddle-pin-ms", "kv-from", "x-hop"] {
         assert_eq!(run.header(name), "", "{name}");
     }
-    let left: u64 = run.header("merlinsaddle-deadline-ms").parse().expect("milliseconds");
-    assert!(left <= 5_000);
+    let remaining: u64 = run.header("merlinsaddle-deadline-ms").parse().expect("milliseconds");
+    assert!(remaining <= 5_000);
     assert_eq!((run.start.as_str(), run.text().as_str()), ("POST /book/x HTTP/1.1", "hi"));
 }
 
-/// Bad input gets its status and reaches no upstream, nor does anything hidden in it.
+/// Guards against request smuggling and against invalid requests that reach an upstream.
 #[rstest]
 #[case::smuggled("Content-Length: 2\r\nTransfer-Encoding: chunked\r\n", 400)]
 #[case::two_lengths("Content-Length: 2\r\nContent-Length: 3\r\n", 400)]
@@ -165,7 +165,7 @@
 #[case::upgrade("Content-Length: 2\r\nUpgrade: websocket\r\n", 400)]
 #[case::large_body("Content-Length: 100001\r\n", 413)]
 #[actix_rt::test]
-async fn bad_requests_are_rejected(#[case] headers: &str, #[case] status: u16) {
+async fn invalid_request_is_rejected_and_not_forwarded(#[case] headers: &str, #[case] status: u16) {
     let deployment = Deployment::start(1, 1).await;
     let request = call("book", "b1").replace("Content-Length: 2\r\n", headers);
     let request = if status == 413 { request + &"x".repeat(100_000) } else { request };
@@ -174,10 +174,10 @@
     assert!(deployment.runs().is_empty());
 }
 
-/// A caller is still sending a body that is too large when it is refused. It must get its answer: if
-/// the instance closed at once, what is on its way would reset the connection and the answer with it.
+/// Guards against closing the connection at once, as the unread body would reset it before the
+/// caller reads the refusal.
 #[actix_rt::test]
-async fn a_caller_that_is_still_sending_gets_its_refusal() {
+async fn caller_still_sending_its_body_receives_the_refusal() {
     const PIECES: usize = 8;
     let piece = "x".repeat(50_000);
     let deployment = Deployment::start(1, 1).await;
@@ -195,7 +195,7 @@
 }
 
 #[actix_rt::test]
-async fn a_large_head_is_rejected() {
+async fn oversized_head_is_rejected() {
     let deployment = Deployment::start(1, 1).await;
     let padding = format!("X-Padding: {}\r\nContent-Length", "x".repeat(5_000));
     let request = call("book", "b1").replace("Content-Length", &padding);
@@ -204,7 +204,7 @@
 }
 
 #[actix_rt::test]
-async fn a_body_in_chunks_arrives_whole() {
+async fn chunked_body_is_forwarded_completely() {
     let deployment = Deployment::start(1, 1).await;
     let request = format!(
         "POST /book/x HTTP/1.1\r\nHost: {HOST}\r\nMerlinsaddle-Request-Id: b1\r\n\
@@ -214,16 +214,16 @@
     assert_eq!(deployment.runs()[0].text(), "abcde");
 }
 
-/// An upstream that never answers keeps the caller waiting until its deadline, not beyond; the
-/// call may have run, so the caller is not told otherwise.
+/// Guards against calls that outlive their deadline, and against a retryable refusal of a call that
+/// may have run.
 #[actix_rt::test]
-async fn a_silent_upstream_ends_at_the_deadline() {
+async fn call_to_a_silent_upstream_ends_at_the_deadline() {
     let deployment = Deployment::start(1, 1).await;
     deployment.engines[0].act(EngineAct::Slow(LIMIT));
     let request = call("book", "b1").replace("5000", "300");
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let answer = deployment.gateway().call(&request).await;
     assert_eq!(answer.status(), 504);
-    assert!(begun.elapsed() >= Duration::from_millis(300));
+    assert!(started_at.elapsed() >= Duration::from_millis(300));
     wait_until("it ran once", async || deployment.runs().len() == 1).await;
 }
