--- a/tests/gateway_resume.rs
+++ b/tests/gateway_resume.rs
@@ -1,4 +1,4 @@
-//! Streams that break off and go on at an engine after the last event that was passed on.
+//! Tests that interrupted streams resume after the last event that was forwarded.
 
 mod platform_standin;
 
@@ -6,10 +6,10 @@
 use platform_standin::{Deployment, HOST, budgeted_turn, route, wait_until};
 use rstest::rstest;
 
-const WHOLE: &str = "id: 1\ndata: w1\n\nid: 2\ndata: w2\n\nid: 3\ndata: w3\n\n";
+const COMPLETE_STREAM: &str = "id: 1\ndata: w1\n\nid: 2\ndata: w2\n\nid: 3\ndata: w3\n\n";
 
-/// One gateway whose streams may be resumed, before a near and a far engine.
-async fn deployment(max_attempts: u32, resumable: bool) -> Deployment {
+/// One gateway in front of a near engine, which is chosen first, and a far one.
+async fn start_deployment(max_attempts: u32, resumable: bool) -> Deployment {
     let deployment = Deployment::with_near_and_far_engine().await;
     let mut turn = route("turn", "stream");
     turn["retained"] = false.into();
@@ -29,7 +29,7 @@
     budgeted_turn(id, "p", None, "x", 100)
 }
 
-/// Guards against a program that fails because one engine broke off a stream that may go on.
+/// Guards against a program that fails because one engine interrupted a resumable stream.
 #[rstest]
 #[case::before_the_head(EngineAct::LoseAnswer, "")]
 #[case::before_the_first_event(EngineAct::CutAfter(0), "")]
@@ -37,34 +37,37 @@
 #[case::inside_an_event(EngineAct::CutInside(1), "1")]
 #[case::before_the_end(EngineAct::CutAfter(3), "3")]
 #[actix_rt::test]
-async fn a_stream_goes_on_at_another_engine(#[case] act: EngineAct, #[case] after: &str) {
-    let deployment = deployment(2, true).await;
+async fn interrupted_stream_resumes_at_another_engine(
+    #[case] act: EngineAct,
+    #[case] last_event_id: &str,
+) {
+    let deployment = start_deployment(2, true).await;
     deployment.engines[0].act(act);
     let answer = deployment.gateway().call(&stream("t1")).await;
     assert_eq!((answer.status(), answer.whole), (200, true));
-    assert_eq!(String::from_utf8_lossy(&answer.body), WHOLE);
+    assert_eq!(String::from_utf8_lossy(&answer.body), COMPLETE_STREAM);
     let resumed = deployment.engines[1].runs();
     assert_eq!(resumed.len(), 1);
-    assert_eq!(resumed[0].header("last-event-id"), after);
+    assert_eq!(resumed[0].header("last-event-id"), last_event_id);
 }
 
-/// Guards against a stream at more engines than its route allows: the same one goes on with it.
+/// Guards against running a stream at more engines than its route allows.
 #[actix_rt::test]
-async fn a_stream_goes_on_at_its_engine_where_no_other_may_run_it() {
-    let deployment = deployment(1, true).await;
+async fn interrupted_stream_resumes_at_its_engine_if_no_other_may_run_it() {
+    let deployment = start_deployment(1, true).await;
     deployment.engines[0].act(EngineAct::CutAfter(1));
     deployment.engines[0].act(EngineAct::CutInside(2));
     let answer = deployment.gateway().call(&stream("t1")).await;
     assert_eq!((answer.status(), answer.whole), (200, true));
-    assert_eq!(String::from_utf8_lossy(&answer.body), WHOLE);
+    assert_eq!(String::from_utf8_lossy(&answer.body), COMPLETE_STREAM);
     assert_eq!(deployment.engines[0].runs().len(), 3);
     assert!(deployment.engines[1].runs().is_empty());
 }
 
-/// Guards against endless attempts at an engine that breaks off all streams.
+/// Guards against endless reruns at an engine that interrupts all streams.
 #[actix_rt::test]
-async fn a_stream_that_breaks_off_again_and_again_is_cut() {
-    let deployment = deployment(1, true).await;
+async fn stream_is_truncated_after_the_maximum_of_reruns() {
+    let deployment = start_deployment(1, true).await;
     for _ in 0..8 {
         deployment.engines[0].act(EngineAct::CutAfter(1));
     }
@@ -73,10 +76,10 @@
     assert_eq!(deployment.engines[0].runs().len(), 4);
 }
 
-/// Guards against events that a caller gets twice, from an engine that begins anew.
+/// Guards against duplicate events from an engine that restarts the stream from its first event.
 #[actix_rt::test]
-async fn events_that_jump_back_are_not_passed_on() {
-    let deployment = deployment(2, true).await;
+async fn repeated_events_are_not_forwarded() {
+    let deployment = start_deployment(2, true).await;
     deployment.engines[0].act(EngineAct::CutAfter(2));
     deployment.engines[1].act(EngineAct::FromStart);
     let answer = deployment.gateway().call(&stream("t1")).await;
@@ -86,24 +89,29 @@
 
 /// Guards against a second run of a stream whose route does not allow it.
 #[actix_rt::test]
-async fn a_stream_that_may_not_be_resumed_is_cut() {
-    let deployment = deployment(2, false).await;
+async fn interrupted_stream_is_truncated_if_not_resumable() {
+    let deployment = start_deployment(2, false).await;
     deployment.engines[0].act(EngineAct::CutAfter(1));
     let answer = deployment.gateway().call(&stream("t1")).await;
     assert_eq!((answer.status(), answer.whole), (200, false));
     assert_eq!(deployment.runs().len(), 1);
 }
 
-/// Guards against a caller that resumes by itself and gets the stream from its start.
+/// Guards against sending a resuming caller the stream from its first event.
 #[actix_rt::test]
-async fn a_caller_resumes_after_its_last_event() {
-    let deployment = deployment(2, true).await;
+async fn caller_resumes_after_its_last_event() {
+    let deployment = start_deployment(2, true).await;
     let request = stream("t2")
         .replace(&format!("Host: {HOST}\r\n"), &format!("Host: {HOST}\r\nLast-Event-Id: 1\r\n"));
     deployment.engines[0].act(EngineAct::CutAfter(2));
     let answer = deployment.gateway().call(&request).await;
     assert_eq!((answer.status(), answer.whole), (200, true));
     let events = String::from_utf8_lossy(&answer.body).into_owned();
-    assert_eq!(events, WHOLE.strip_prefix("id: 1\ndata: w1\n\n").expect("it begins so"));
+    assert_eq!(
+        events,
+        COMPLETE_STREAM
+            .strip_prefix("id: 1\ndata: w1\n\n")
+            .expect("the stream starts with the first event")
+    );
     assert_eq!(deployment.engines[1].runs()[0].header("last-event-id"), "2");
 }
