--- a/src/gateway/attempt/exchange.rs
+++ b/src/gateway/attempt/exchange.rs
@@ -10,8 +10,8 @@
 
 const MAX_FOREIGN_ANSWERS: usize = 3;
 
-/// Skips late answers to earlier requests on the connection. Answers that name no request are
-/// accepted only if they say that the request did not run.
+/// Skips late responses to earlier requests on the connection. A response that names no request is
+/// accepted only if it says that the request did not run.
 pub(super) async fn exchange(
     gateway: &Gateway,
     connection: &mut UpstreamConnection,
--- a/src/gateway/call/turn.rs
+++ b/src/gateway/call/turn.rs
@@ -33,7 +33,7 @@
 /// Leaves time to send a refusal before the caller's deadline.
 const CLAIM_TIMEOUT_MARGIN: Duration = Duration::from_millis(200);
 
-/// Used if the coordinator rejects a program that this instance would admit.
+/// Fallback where a coordinator rejects a program that this instance admitted.
 const NOT_ADMITTED_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 pub(super) struct ActiveTurn {
