--- a/src/gateway/attempt/guard.rs
+++ b/src/gateway/attempt/guard.rs
@@ -27,7 +27,7 @@
 
 impl AttemptGuard {
     pub(super) fn new(gateway: &Rc<Gateway>, call: &CallContext, choice: &UpstreamChoice) -> Self {
-        let mut upstreams = gateway.news.upstreams.borrow_mut();
+        let mut upstreams = gateway.feed.upstreams.borrow_mut();
         let begun = Instant::now();
         upstreams.started(&choice.id, choice.prefill_ms, begun);
         if !gateway.settings.uses(GatewayMechanism::SilenceAvoidance) {
@@ -47,7 +47,7 @@
 
     /// Notes that the first bytes of the answer's body came.
     pub(crate) fn heard(&self) {
-        self.gateway.news.upstreams.borrow_mut().record_first_byte(&self.upstream, self.begun);
+        self.gateway.feed.upstreams.borrow_mut().record_first_byte(&self.upstream, self.begun);
         if let Some(waited) = self.take_wait() {
             let mut gate = self.gateway.gate.borrow_mut();
             gate.record_wait(&self.service, waited, self.objective, Instant::now());
@@ -77,7 +77,7 @@
             let mut gate = self.gateway.gate.borrow_mut();
             gate.record_abandoned(&self.service, waited, Instant::now());
         }
-        let mut upstreams = self.gateway.news.upstreams.borrow_mut();
+        let mut upstreams = self.gateway.feed.upstreams.borrow_mut();
         upstreams.ended(&self.upstream, self.begun, self.result.get(), Instant::now());
     }
 }
--- a/src/gateway/attempt/mod.rs
+++ b/src/gateway/attempt/mod.rs
@@ -121,7 +121,7 @@
         if !call.route.is_idempotent() || Instant::now() >= call.deadline {
             return RerunPlace::Nowhere;
         }
-        let upstreams = self.news.upstreams.borrow();
+        let upstreams = self.feed.upstreams.borrow();
         let engines = log.engines.borrow();
         let running = engines
             .iter()
@@ -214,7 +214,7 @@
             salt: rand::random(),
             now: Instant::now(),
         };
-        self.news.upstreams.borrow().choose(&request)
+        self.feed.upstreams.borrow().choose(&request)
     }
 
     async fn attempt_at(
--- a/src/gateway/call/access.rs
+++ b/src/gateway/call/access.rs
@@ -48,7 +48,7 @@
         request: &CallerRequest,
         key: Option<&ApiKey>,
     ) -> Result<CallGrant, Refusal> {
-        let Some(table) = self.news.routes() else {
+        let Some(table) = self.feed.routes() else {
             return Err(Refusal::not_run("no_routes_yet", NO_ROUTES_RETRY));
         };
         if !self.trusts_keys(&table).await {
@@ -57,8 +57,8 @@
         if let Ok(grant) = grant(&table, request, key) {
             return Ok(grant);
         }
-        let fresh = self.news.refresh_routes().await;
-        let table = self.news.routes().unwrap_or(table);
+        let fresh = self.feed.refresh_routes().await;
+        let table = self.feed.routes().unwrap_or(table);
         grant(&table, request, key).map_err(|denial| match fresh {
             true => denial.refusal(),
             false => Refusal::not_run("routes_uncertain", NO_ROUTES_RETRY),
@@ -71,8 +71,8 @@
     async fn trusts_keys(&self, table: &RouteTable) -> bool {
         let Some(limit) = self.settings.strict_key_age() else { return true };
         table.workspaces().is_none()
-            || self.news.routes_age() <= limit
-            || self.news.refresh_routes().await
+            || self.feed.routes_age() <= limit
+            || self.feed.refresh_routes().await
     }
 }
 
--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -208,7 +208,7 @@
         let (upstream, status) = (choice.id.clone(), head.status);
         guard.record(AttemptResult::Answered);
         // The cache of a previous incarnation is gone.
-        if self.news.upstreams.borrow().has_incarnation(&upstream, choice.started_at) {
+        if self.feed.upstreams.borrow().has_incarnation(&upstream, choice.started_at) {
             self.note_resident(call, &upstream);
             self.note_pace(&upstream, first_at, events.events() - before);
         }
@@ -248,7 +248,7 @@
         let first_at = first_at.filter(|_| paced && events >= MIN_PACED_EVENTS);
         let Some(first_at) = first_at else { return };
         let millis = first_at.elapsed().as_secs_f64() * 1e3 / (events - 1) as f64;
-        self.news.upstreams.borrow_mut().observe_latency(upstream, millis, Instant::now());
+        self.feed.upstreams.borrow_mut().observe_latency(upstream, millis, Instant::now());
     }
 
     /// Notes what the engine's memory now holds.
@@ -256,7 +256,7 @@
         if !self.settings.uses(GatewayMechanism::PromptPlacement) {
             return;
         }
-        let mut upstreams = self.news.upstreams.borrow_mut();
+        let mut upstreams = self.feed.upstreams.borrow_mut();
         for block in &call.head.parts {
             upstreams.record_resident(upstream, &block.id);
         }
--- a/src/gateway/call/turn.rs
+++ b/src/gateway/call/turn.rs
@@ -107,7 +107,7 @@
                 call.body = chain_body(&chain.turns, &input);
             }
             TurnScope::Tokens => {
-                let upstreams = self.news.upstreams.borrow();
+                let upstreams = self.feed.upstreams.borrow();
                 let holder =
                     holder.filter(|held| upstreams.has_incarnation(&held.upstream, held.born));
                 call.holder = holder.map(|held| held.upstream);
@@ -135,7 +135,7 @@
     fn chain_holder(&self, chain: &TurnChain) -> Option<UpstreamId> {
         let last = chain.turns.last()?;
         let is_current =
-            self.news.upstreams.borrow().has_incarnation(&last.upstream, last.started_at);
+            self.feed.upstreams.borrow().has_incarnation(&last.upstream, last.started_at);
         is_current.then(|| last.upstream.clone())
     }
 
--- a/src/gateway/desk.rs
+++ b/src/gateway/desk.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 
 use super::Gateway;
-use super::news::NEWS_PATH;
+use super::feed::FEED_PATH;
 use super::quotas::LIMITS_PATH;
 use super::store::{RELAY_PATH, RelayError};
 use super::turns::{CLAIM_PATH, KEEP_PATH, SETTLE_PATH};
@@ -61,7 +61,7 @@
         async move {
             match (&request.method, &*request.path) {
                 (&Method::POST, RELAY_PATH) => relay(&gateway, &request.body).await,
-                (&Method::POST, NEWS_PATH) => news(&gateway, &request.body).await,
+                (&Method::POST, FEED_PATH) => feed(&gateway, &request.body).await,
                 (&Method::POST, CLAIM_PATH | KEEP_PATH | SETTLE_PATH) => {
                     let (status, reply) =
                         gateway.turns.serve_peer(&request.path, request.body).await;
@@ -84,8 +84,8 @@
     }
 }
 
-async fn news(gateway: &Gateway, question: &[u8]) -> HttpResponse {
-    match gateway.news.serve_news(question).await {
+async fn feed(gateway: &Gateway, question: &[u8]) -> HttpResponse {
+    match gateway.feed.serve_feed(question).await {
         Some(reply) => body_response(StatusCode::OK, BINARY, reply),
         None => text_response(StatusCode::SERVICE_UNAVAILABLE, "no fresh news"),
     }
--- a/src/gateway/news/follow.rs
+++ b/src/gateway/feed/follow.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::{Instant, sleep};
 
-use super::StoreNews;
+use super::ChangeFeed;
 use crate::gateway::rows::{ChangesReply, RowRange};
 use crate::node::platform::StoreError;
 use crate::util::pause::ClockMark;
@@ -22,7 +22,7 @@
 /// Pause after a failed question.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-impl StoreNews {
+impl ChangeFeed {
     pub(super) async fn read_routes(&self) -> Result<(), StoreError> {
         let asked = ClockMark::now();
         let table = self.dialect.routes_table();
--- a/src/gateway/news/mod.rs
+++ b/src/gateway/feed/mod.rs
@@ -31,14 +31,14 @@
 use crate::core::upstreams::{UpstreamEntry, UpstreamTable, UpstreamUpdate};
 use crate::util::pause::ClockMark;
 
-pub(crate) use self::reader::{NEWS_PATH, NewsReaders};
+pub(crate) use self::reader::{FEED_PATH, FeedReaders};
 
 /// Routes confirmed so lately need not be asked for again to say that one does not exist. It is less
 /// than the time in which a new route must be in force.
 const FRESH: Duration = Duration::from_millis(1_500);
 
 /// What the instance knows from the store's news.
-pub(crate) struct StoreNews {
+pub(crate) struct ChangeFeed {
     store: Rc<StoreLink>,
     pool: Rc<ConnectionPool>,
     dialect: Rc<dyn GatewayDialect>,
@@ -60,19 +60,19 @@
     /// Instances between the store and this one.
     hops: Cell<u32>,
     /// Who reads news for this instance.
-    readers: Option<Rc<dyn NewsReaders>>,
+    readers: Option<Rc<dyn FeedReaders>>,
     /// Tells of the end of that.
     released: Notify,
     /// Held while the routes are read for requests that wait.
     refresh: Mutex<()>,
 }
 
-impl StoreNews {
+impl ChangeFeed {
     pub(crate) fn new(
         store: Rc<StoreLink>,
         pool: Rc<ConnectionPool>,
         dialect: Rc<dyn GatewayDialect>,
-        readers: Option<Rc<dyn NewsReaders>>,
+        readers: Option<Rc<dyn FeedReaders>>,
     ) -> Self {
         Self {
             store,
@@ -292,7 +292,7 @@
     }
 }
 
-impl QuotaSource for StoreNews {
+impl QuotaSource for ChangeFeed {
     fn quota(&self, workspace: &str) -> Option<QuotaLimit> {
         self.routes()?.workspaces()?.get(workspace)?.quota
     }
--- a/src/gateway/news/reader.rs
+++ b/src/gateway/feed/reader.rs
@@ -11,14 +11,14 @@
 use bytes::Bytes;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::StoreNews;
+use super::ChangeFeed;
 use super::messages::{NewsQuestion, NewsReply, TableNews};
 use super::table_log::NewsLog;
 use crate::gateway::latency::FailedPeers;
 use crate::util::pause::ClockMark;
 
 /// Path of the news on the address for peers.
-pub(crate) const NEWS_PATH: &str = "/news";
+pub(crate) const FEED_PATH: &str = "/news";
 
 /// How long a reader may hold a question. Together with the patience and the reader's own pace it bounds
 /// how late a change is known where a reader freezes.
@@ -44,12 +44,12 @@
 const LOOK_PACE: Duration = Duration::from_millis(200);
 
 /// Who reads news for whom.
-pub(crate) trait NewsReaders {
+pub(crate) trait FeedReaders {
     /// Peer address of the instance that reads news for this one; none if it reads them itself.
-    fn news_reader(&self) -> Option<Box<str>>;
+    fn feed_reader(&self) -> Option<Box<str>>;
 
     /// Whether this instance reads news for others.
-    fn reads_news(&self) -> bool;
+    fn reads_feed(&self) -> bool;
 }
 
 /// Why a reader is not followed.
@@ -65,13 +65,13 @@
     Old(Duration),
 }
 
-impl StoreNews {
+impl ChangeFeed {
     /// Follows the reader of the moment, as long as there is one.
     pub(crate) async fn follow_readers(self: Rc<Self>) {
         let Some(readers) = self.readers.clone() else { return };
         let mut failed = FailedPeers::new(PASSED_OVER);
         loop {
-            let reader = readers.news_reader().filter(|_| self.is_complete());
+            let reader = readers.feed_reader().filter(|_| self.is_complete());
             let Some(reader) = reader.filter(|reader| !failed.contains(reader)) else {
                 self.set_led(None);
                 sleep(LOOK_PACE).await;
@@ -101,7 +101,7 @@
         let Some(readers) = self.readers.clone() else { return false };
         let late = Instant::now() + START_WAIT;
         let reader = loop {
-            match readers.news_reader() {
+            match readers.feed_reader() {
                 Some(reader) => break reader,
                 None if Instant::now() >= late => return false,
                 None => sleep(START_PACE).await,
@@ -115,7 +115,7 @@
 
     /// Asks a reader for what is new, page by page, and takes what it tells.
     async fn ask(&self, reader: &str) -> Result<(), ReaderFailure> {
-        let relays = self.readers.as_ref().is_some_and(|readers| readers.reads_news());
+        let relays = self.readers.as_ref().is_some_and(|readers| readers.reads_feed());
         let hold = if relays { RELAY_HOLD } else { HOLD };
         let mut question = NewsQuestion {
             routes_after: self.route_log.borrow().head(),
@@ -149,7 +149,7 @@
     ) -> Result<NewsReply, ReaderFailure> {
         let body = serde_json::to_vec(question).expect("questions serialize").into();
         let limit = hold + PATIENCE;
-        let answer = self.pool.exchange(reader, Method::POST, NEWS_PATH, body, limit).await;
+        let answer = self.pool.exchange(reader, Method::POST, FEED_PATH, body, limit).await;
         let (status, text) = answer.map_err(ReaderFailure::Silent)?;
         if !status.is_success() {
             return Err(ReaderFailure::Refused(status.as_u16()));
@@ -188,7 +188,7 @@
     /// Answers a follower once there is something new, or when it has waited long enough; none if this
     /// instance has nothing fresh to tell, or has just lost the store: left to find out by callers'
     /// turns, followers refused turns that could have waited for its return.
-    pub(crate) async fn serve_news(&self, question: &[u8]) -> Option<Bytes> {
+    pub(crate) async fn serve_feed(&self, question: &[u8]) -> Option<Bytes> {
         let question: NewsQuestion = serde_json::from_slice(question).ok()?;
         let begun = Instant::now();
         let until = begun + Duration::from_millis(question.hold_ms).min(HOLD);
--- a/src/gateway/members/roles.rs
+++ b/src/gateway/members/roles.rs
@@ -5,7 +5,7 @@
 use super::{MemberView, is_offered};
 use crate::core::members::{GroupRole, MemberInfo, MemberState, group_role, tree_role};
 use crate::core::quotas::{LimiterStatus, QuotaMember};
-use crate::gateway::news::NewsReaders;
+use crate::gateway::feed::FeedReaders;
 use crate::gateway::quotas::QuotaPeers;
 use crate::gateway::store::RelayPeers;
 
@@ -64,8 +64,8 @@
     }
 }
 
-impl NewsReaders for MemberView {
-    fn news_reader(&self) -> Option<Box<str>> {
+impl FeedReaders for MemberView {
+    fn feed_reader(&self) -> Option<Box<str>> {
         let table = self.table.borrow();
         let me = table.me();
         let near = table.iter().filter(|member| is_offered(member) && member.zone == me.zone);
@@ -76,7 +76,7 @@
         Some(reader.rpc_address.clone())
     }
 
-    fn reads_news(&self) -> bool {
+    fn reads_feed(&self) -> bool {
         let table = self.table.borrow();
         let me = table.me();
         let near = table.iter().filter(|member| is_offered(member) && member.zone == me.zone);
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -10,11 +10,11 @@
 mod desk;
 pub mod dialect;
 mod events;
+mod feed;
 mod http;
 mod latency;
 mod members;
 mod metrics;
-mod news;
 mod offer;
 mod quotas;
 mod refusal;
@@ -36,10 +36,10 @@
 use crate::core::admission::AdmissionGate;
 use committer::StoreCommitter;
 use dialect::GatewayDialect;
+use feed::ChangeFeed;
 use http::ConnectionPool;
 use members::MemberView;
 use metrics::{GatewayMetrics, GatewaySample};
-use news::StoreNews;
 use offer::CallerOffer;
 use quotas::QuotaKeeper;
 use stop::StopState;
@@ -56,7 +56,7 @@
     pub(crate) dialect: Rc<dyn GatewayDialect>,
     pub(crate) pool: Rc<ConnectionPool>,
     pub(crate) store: Rc<StoreLink>,
-    pub(crate) news: Rc<StoreNews>,
+    pub(crate) feed: Rc<ChangeFeed>,
     pub(crate) turns: Rc<TurnKeeper>,
     pub(crate) committer: Rc<StoreCommitter>,
     pub(crate) members: Rc<MemberView>,
@@ -73,7 +73,7 @@
 impl Gateway {
     /// Whether callers may be sent here.
     pub(crate) fn is_ready(&self) -> bool {
-        self.news.is_complete() && !self.is_draining()
+        self.feed.is_complete() && !self.is_draining()
     }
 
     pub(crate) fn is_draining(&self) -> bool {
@@ -84,10 +84,10 @@
     pub(crate) fn sample_metrics(&self) {
         self.metrics.sample(&GatewaySample {
             members: self.members.alive() as u64,
-            upstreams: self.news.upstreams.borrow().len() as u64,
-            upstreams_aside: self.news.upstreams.borrow().ejected_count(Instant::now()) as u64,
-            routes_version: self.news.routes().map_or(0, |table| table.version),
-            routes_age: self.news.routes_age(),
+            upstreams: self.feed.upstreams.borrow().len() as u64,
+            upstreams_aside: self.feed.upstreams.borrow().ejected_count(Instant::now()) as u64,
+            routes_version: self.feed.routes().map_or(0, |table| table.version),
+            routes_age: self.feed.routes_age(),
             cached_bytes: self.turns.cached_bytes() as u64,
             open_calls: self.open_calls.get().into(),
             reservations: self.turns.reservations(),
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -14,10 +14,10 @@
 use super::committer::StoreCommitter;
 use super::desk::{directory_handler, peer_handler, ready_handler};
 use super::dialect::GatewayDialect;
+use super::feed::{ChangeFeed, FeedReaders};
 use super::http::ConnectionPool;
 use super::members::MemberView;
 use super::metrics::GatewayMetrics;
-use super::news::{NewsReaders, StoreNews};
 use super::offer::CallerOffer;
 use super::quotas::{LeastMembers, LimiterQuota, QuotaKeeper, ShareQuota, SizeKeeper};
 use super::server::serve_callers;
@@ -117,9 +117,9 @@
         store.set_peers(members.clone());
     }
     let readers = settings.uses(GatewayMechanism::NewsReaders);
-    let readers = readers.then(|| members.clone() as Rc<dyn NewsReaders>);
-    let news = Rc::new(StoreNews::new(store.clone(), pool.clone(), dialect.clone(), readers));
-    let quotas = launch_quotas(&settings, &store, &members, &news);
+    let readers = readers.then(|| members.clone() as Rc<dyn FeedReaders>);
+    let feed = Rc::new(ChangeFeed::new(store.clone(), pool.clone(), dialect.clone(), readers));
+    let quotas = launch_quotas(&settings, &store, &members, &feed);
     let cache_bytes = settings.cache_bytes();
     let committer =
         Rc::new(StoreCommitter::new(store.clone(), settings.uses(GatewayMechanism::RateHold)));
@@ -134,7 +134,7 @@
         dialect,
         pool,
         store,
-        news: news.clone(),
+        feed: feed.clone(),
         turns: Rc::new(turns),
         committer,
         members: members.clone(),
@@ -153,13 +153,13 @@
         gateway.settings.peer_address
     );
     let instance = gateway.settings.instance.clone();
-    let sweeper = ProgramSweeper::new(instance, gateway.store.clone(), news.clone());
+    let sweeper = ProgramSweeper::new(instance, gateway.store.clone(), feed.clone());
     actix_rt::spawn(sweeper.run());
-    actix_rt::spawn(news.clone().follow_readers());
+    actix_rt::spawn(feed.clone().follow_readers());
     actix_rt::spawn(members.run());
-    actix_rt::spawn(news.clone().follow_routes());
-    actix_rt::spawn(news.clone().follow_upstreams());
-    actix_rt::spawn(news.follow_outages());
+    actix_rt::spawn(feed.clone().follow_routes());
+    actix_rt::spawn(feed.clone().follow_upstreams());
+    actix_rt::spawn(feed.follow_outages());
     actix_rt::spawn(gateway.clone().do_chores());
     let ready = ready_handler(gateway.clone());
     let directory = directory_handler(gateway.clone());
@@ -176,7 +176,7 @@
     settings: &GatewaySettings,
     store: &Rc<StoreLink>,
     members: &Rc<MemberView>,
-    news: &Rc<StoreNews>,
+    feed: &Rc<ChangeFeed>,
 ) -> Rc<dyn QuotaKeeper> {
     let least = LeastMembers::default();
     let me = settings.instance.clone();
@@ -187,7 +187,7 @@
         return Rc::new(ShareQuota::new(bounds, members.clone(), least));
     }
     let by_program = settings.uses(GatewayMechanism::ProgramQuota);
-    let limiter = LimiterQuota::new(me, bounds, by_program, members.clone(), news.clone(), least);
+    let limiter = LimiterQuota::new(me, bounds, by_program, members.clone(), feed.clone(), least);
     let limiter = Rc::new(limiter);
     members.set_quotas(limiter.clone());
     actix_rt::spawn(limiter.clone().run());
@@ -213,12 +213,12 @@
     /// Reads the routes at once if a peer has newer ones: this instance's own question may hang on
     /// a connection that has gone silent.
     async fn follow_heads(&self) {
-        let version = self.news.routes().map_or(0, |table| table.version);
+        let version = self.feed.routes().map_or(0, |table| table.version);
         self.members.set_head(version);
         let (heard, since) = self.members.heard_head();
-        let patience = if self.news.is_led() { READER_PATIENCE } else { Duration::ZERO };
+        let patience = if self.feed.is_led() { READER_PATIENCE } else { Duration::ZERO };
         if heard > version && version > 0 && since.elapsed() >= patience {
-            self.news.catch_up(heard).await;
+            self.feed.catch_up(heard).await;
         }
     }
 }
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -80,7 +80,7 @@
     reader: &mut CallerReader,
     writer: &mut CallerWriter,
 ) -> bool {
-    let limits = gateway.news.routes().map_or(DEFAULT_LIMITS, |table| table.limits);
+    let limits = gateway.feed.routes().map_or(DEFAULT_LIMITS, |table| table.limits);
     let begun = tokio::select! {
         biased;
         begun = reader.wait(limits.idle_timeout) => begun.is_ok(),
--- a/src/gateway/sweep.rs
+++ b/src/gateway/sweep.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
 
-use super::news::StoreNews;
+use super::feed::ChangeFeed;
 use super::rows::{CommitReply, RowKey, RowRange, RowTransaction, RowVersion, StoredRow};
 use super::store::StoreLink;
 use super::turns::{LEDGER_KEY, TABLE, index_key, parse_turn_key, row_key};
@@ -41,12 +41,12 @@
 pub(crate) struct ProgramSweeper {
     instance: InstanceId,
     store: Rc<StoreLink>,
-    news: Rc<StoreNews>,
+    feed: Rc<ChangeFeed>,
 }
 
 impl ProgramSweeper {
-    pub(crate) fn new(instance: InstanceId, store: Rc<StoreLink>, news: Rc<StoreNews>) -> Self {
-        Self { instance, store, news }
+    pub(crate) fn new(instance: InstanceId, store: Rc<StoreLink>, feed: Rc<ChangeFeed>) -> Self {
+        Self { instance, store, feed }
     }
 
     /// Sweeps whenever it is due and this instance holds the lease.
@@ -54,7 +54,7 @@
         // When known programs expire, so that those are not read again before.
         let mut known: BTreeMap<ProgramName, u64> = BTreeMap::new();
         loop {
-            let Some(table) = self.news.routes() else {
+            let Some(table) = self.feed.routes() else {
                 sleep(MIN_PACE).await;
                 continue;
             };
