--- a/src/gateway/committer.rs
+++ b/src/gateway/committer.rs
@@ -82,7 +82,7 @@
         patience: Duration,
     ) -> CommitResult {
         if !self.store.takes_across() {
-            return self.commit_by_part(&transaction).await;
+            return self.commit_by_partition(&transaction).await;
         }
         let (reply, answered) = oneshot::channel();
         let due = Instant::now() + patience;
@@ -98,13 +98,13 @@
         answered.await.unwrap_or(Err(StoreError::ReplyLost))
     }
 
-    /// Without transactions over several parts, parts without conditions are written first: until
-    /// the checked part follows, nothing refers to them.
-    async fn commit_by_part(&self, transaction: &RowTransaction) -> CommitResult {
+    /// Without transactions across partitions, partitions without checks are written first: nothing
+    /// refers to them until the checked partition is written.
+    async fn commit_by_partition(&self, transaction: &RowTransaction) -> CommitResult {
         let mut reply = Err(StoreError::Unavailable);
-        for part in transaction.by_part() {
+        for partition in transaction.by_partition() {
             self.batches.set(self.batches.get() + 1);
-            reply = self.store.commit(&part).await;
+            reply = self.store.commit(&partition).await;
             if !matches!(reply, Ok(CommitReply::Committed(_))) {
                 return reply;
             }
@@ -138,7 +138,7 @@
         let mut queue = self.queue.borrow_mut();
         let mut keys: BTreeSet<RowKey> = BTreeSet::new();
         let (mut rows, mut bytes) = (0, 0);
-        // A transaction over several parts takes the store twice as long, and a caller waits for the
+        // A transaction across partitions takes the store twice as long, and a caller waits for the
         // urgent ones: while the store is slow 50-fold, that is 150 ms a turn.
         let urgent_only = self.store.is_slow() && queue.iter().any(|queued| queued.urgent);
         let mut batch = Vec::new();
--- a/src/gateway/dialect.rs
+++ b/src/gateway/dialect.rs
@@ -117,9 +117,9 @@
     fn range_call(&self, range: &RowRange) -> StoreCall;
     fn range_reply(&self, status: u16, body: &[u8]) -> Result<RangeReply, StoreError>;
 
-    /// Asks for the names of a table's parts, those after one of them.
-    fn parts_call(&self, table: &str, after: Option<&str>) -> StoreCall;
-    fn parts_reply(&self, status: u16, body: &[u8]) -> Result<Vec<Box<str>>, StoreError>;
+    /// Lists the names of a table's partitions that sort after `after`.
+    fn partitions_call(&self, table: &str, after: Option<&str>) -> StoreCall;
+    fn partitions_reply(&self, status: u16, body: &[u8]) -> Result<Vec<Box<str>>, StoreError>;
 
     /// Asks what changed in a table after a version; the store waits up to `wait` for something.
     fn changes_call(&self, table: &str, after: RowVersion, wait: Duration) -> StoreCall;
--- a/src/gateway/feed/follow.rs
+++ b/src/gateway/feed/follow.rs
@@ -26,7 +26,8 @@
     pub(super) async fn read_routes(&self) -> Result<(), StoreError> {
         let asked = ClockMark::now();
         let table = self.dialect.routes_table();
-        let range = RowRange { table: table.into(), part: Box::default(), from: None, limit: None };
+        let range =
+            RowRange { table: table.into(), partition: Box::default(), from: None, limit: None };
         let reply = self.store.range(&range).await?;
         self.replace_routes(reply.rows, reply.version, asked);
         Ok(())
@@ -73,7 +74,7 @@
         let asked = Instant::now();
         let table = self.dialect.upstreams_table();
         let mut range =
-            RowRange { table: table.into(), part: Box::default(), from: None, limit: None };
+            RowRange { table: table.into(), partition: Box::default(), from: None, limit: None };
         let mut rows = Vec::new();
         let mut oldest = None;
         loop {
--- a/src/gateway/feed/messages.rs
+++ b/src/gateway/feed/messages.rs
@@ -80,7 +80,7 @@
 impl TableNews {
     fn split(&self) -> (TableHead, impl Iterator<Item = &[u8]>) {
         let head = |row: &StoredRow| RowHead {
-            part: row.key.part.clone(),
+            part: row.key.partition.clone(),
             key: row.key.key.clone(),
             version: row.version,
             bytes: row.value.as_ref().map(Bytes::len),
@@ -105,7 +105,7 @@
                 Some(bytes) => Some(values.split_to(bytes)),
                 None => None,
             };
-            let key = RowKey { table: table.into(), part: row.part, key: row.key };
+            let key = RowKey { table: table.into(), partition: row.part, key: row.key };
             rows.push(StoredRow { key, value, version: row.version });
         }
         let age = Duration::from_millis(head.age_ms);
--- a/src/gateway/feed/table_log_tests.rs
+++ b/src/gateway/feed/table_log_tests.rs
@@ -10,7 +10,7 @@
 use crate::gateway::rows::{RowKey, StoredRow};
 
 fn row(name: u8, version: u64, present: bool) -> StoredRow {
-    let key = RowKey { table: "t".into(), part: "".into(), key: name.to_string().into() };
+    let key = RowKey { table: "t".into(), partition: "".into(), key: name.to_string().into() };
     let value = present.then(|| Bytes::from(version.to_string()));
     StoredRow { key, value, version }
 }
@@ -87,7 +87,8 @@
     let mut log = NewsLog::default();
     log.replace(vec![row(0, 1, true)], 1, Instant::now());
     for version in 2..5_000 {
-        let key = RowKey { table: "t".into(), part: "".into(), key: version.to_string().into() };
+        let key =
+            RowKey { table: "t".into(), partition: "".into(), key: version.to_string().into() };
         log.put(StoredRow { key, value: None, version });
     }
     log.advance(5_000, Instant::now());
@@ -136,6 +137,6 @@
 }
 
 fn long_row(name: u64, version: u64) -> StoredRow {
-    let key = RowKey { table: "t".into(), part: "".into(), key: name.to_string().into() };
+    let key = RowKey { table: "t".into(), partition: "".into(), key: name.to_string().into() };
     StoredRow { key, value: Some(Bytes::from(version.to_string())), version }
 }
--- a/src/gateway/quotas/size.rs
+++ b/src/gateway/quotas/size.rs
@@ -90,7 +90,7 @@
         let key = row_key();
         let range = RowRange {
             table: key.table.clone(),
-            part: key.part.clone(),
+            partition: key.partition.clone(),
             from: Some(key.key.clone()),
             limit: Some(1),
         };
@@ -130,5 +130,5 @@
 }
 
 fn row_key() -> RowKey {
-    RowKey { table: TABLE.into(), part: Box::default(), key: KEY.into() }
+    RowKey { table: TABLE.into(), partition: Box::default(), key: KEY.into() }
 }
--- a/src/gateway/rows.rs
+++ b/src/gateway/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the platform's store, and the calls that read and write them.
+//! Rows of the platform's store and the requests and replies that read and write them.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,18 +7,18 @@
 use bytes::Bytes;
 use derive_more::Display;
 
-/// Number of a change of the store; rises with every transaction.
+/// Version of the store; increases with every transaction.
 pub type RowVersion = u64;
 
-/// Where a row lies. All rows of a part can change in one cheap transaction.
+/// A transaction within one partition is cheap; one across partitions is not supported by every
+/// store.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RowKey {
     pub table: Box<str>,
-    pub part: Box<str>,
+    pub partition: Box<str>,
     pub key: Box<str>,
 }
 
-/// A row as the store gave it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredRow {
     pub key: RowKey,
@@ -27,7 +27,8 @@
     pub version: RowVersion,
 }
 
-/// Writes that take effect together if all checked rows have their versions; 0 is no row.
+/// Writes that are applied atomically if every checked row has the given version; version 0 means
+/// that the row does not exist.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RowTransaction {
     pub checks: Vec<(RowKey, RowVersion)>,
@@ -36,49 +37,48 @@
 }
 
 impl RowTransaction {
-    /// Keys of all rows it concerns; a checked row that is also written comes twice.
+    /// A row that is both checked and written occurs twice.
     pub fn keys(&self) -> impl Iterator<Item = &RowKey> {
         let checks = self.checks.iter().map(|(key, _)| key);
         let puts = self.puts.iter().map(|(key, _)| key);
         checks.chain(puts).chain(&self.removals)
     }
 
-    /// Entries it has, which the store bounds.
+    /// Number of checks, puts and removals, which the store limits.
     pub fn rows(&self) -> usize {
         self.checks.len() + self.puts.len() + self.removals.len()
     }
 
-    /// Values it writes, in bytes.
+    /// Total size of the written values.
     pub fn bytes(&self) -> usize {
         self.puts.iter().map(|(_, value)| value.len()).sum()
     }
 
-    /// Whether its rows lie in more than one part.
-    pub fn spans_parts(&self) -> bool {
-        let mut parts = self.keys().map(|key| &key.part);
-        let first = parts.next();
-        parts.any(|part| Some(part) != first)
+    pub fn spans_partitions(&self) -> bool {
+        let mut partitions = self.keys().map(|key| &key.partition);
+        let first = partitions.next();
+        partitions.any(|partition| Some(partition) != first)
     }
 
-    /// Adds the entries of another transaction.
     pub fn merge(&mut self, other: &Self) {
         self.checks.extend(other.checks.iter().cloned());
         self.puts.extend(other.puts.iter().cloned());
         self.removals.extend(other.removals.iter().cloned());
     }
 
-    /// The same entries as a transaction a part, those without conditions first.
-    pub fn by_part(&self) -> Vec<Self> {
-        let parts: BTreeSet<&str> = self.keys().map(|key| &*key.part).collect();
-        let mut split: Vec<Self> = parts.into_iter().map(|part| self.in_part(part)).collect();
+    /// Splits it into one transaction per partition, those without checks first.
+    pub fn by_partition(&self) -> Vec<Self> {
+        let partitions: BTreeSet<&str> = self.keys().map(|key| &*key.partition).collect();
+        let mut split: Vec<Self> =
+            partitions.into_iter().map(|partition| self.in_partition(partition)).collect();
         split.sort_by_key(|transaction| !transaction.checks.is_empty());
         split
     }
 
-    fn in_part(&self, part: &str) -> Self {
-        let checks = self.checks.iter().filter(|(key, _)| *key.part == *part);
-        let puts = self.puts.iter().filter(|(key, _)| *key.part == *part);
-        let removals = self.removals.iter().filter(|key| *key.part == *part);
+    fn in_partition(&self, partition: &str) -> Self {
+        let checks = self.checks.iter().filter(|(key, _)| *key.partition == *partition);
+        let puts = self.puts.iter().filter(|(key, _)| *key.partition == *partition);
+        let removals = self.removals.iter().filter(|key| *key.partition == *partition);
         Self {
             checks: checks.cloned().collect(),
             puts: puts.cloned().collect(),
@@ -87,48 +87,44 @@
     }
 }
 
-/// The store's answer to a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitReply {
     Committed(RowVersion),
-    /// Nothing was written; the checked rows that exist, as they are now.
+    /// Nothing was written. Holds the current state of the checked rows that exist.
     Conflict(Vec<StoredRow>),
 }
 
-/// Rows of one part in key order, from `from` on.
+/// Rows of one partition in key order, starting at `from`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RowRange {
     pub table: Box<str>,
-    pub part: Box<str>,
+    pub partition: Box<str>,
     pub from: Option<Box<str>>,
-    /// Most rows wanted; absent for as many as one answer holds.
+    /// `None` returns as many rows as fit into one reply.
     pub limit: Option<usize>,
 }
 
-/// Rows as of one moment.
+/// A consistent snapshot of rows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RangeReply {
     pub rows: Vec<StoredRow>,
-    /// Whether more rows follow.
     pub truncated: bool,
-    /// Newest version of the store at that moment.
+    /// Version of the store at the time of the snapshot.
     pub version: RowVersion,
-    /// The store's steady clock, since an arbitrary start.
+    /// The store's monotonic clock, since an arbitrary origin.
     pub now: Duration,
 }
 
-/// What has changed since a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangesReply {
     Changes {
         rows: Vec<StoredRow>,
         version: RowVersion,
     },
-    /// The store no longer knows what changed; everything must be read anew.
+    /// The store has discarded the history since that version; the table must be read again.
     HistoryGone,
 }
 
-/// What a call to the store is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum StoreCallKind {
     #[display("commit")]
@@ -136,15 +132,15 @@
     #[display("range")]
     Range,
     #[display("parts")]
-    Parts,
+    Partitions,
     #[display("changes")]
     Changes,
-    /// Made for a peer that does not reach the store itself.
+    /// Made on behalf of a peer that cannot reach the store.
     #[display("relayed")]
     Relayed,
 }
 
-/// One HTTP call to the store, as the dialect spells it.
+/// An HTTP request to the store, encoded by the dialect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreCall {
     pub kind: StoreCallKind,
@@ -152,6 +148,6 @@
     /// Path and query.
     pub target: Box<str>,
     pub body: Bytes,
-    /// How long the store itself may hold the call before it answers.
+    /// How long the store may hold the request open before it replies.
     pub hold: Duration,
 }
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -35,7 +35,7 @@
     pub store_address: Box<str>,
     /// Largest value of a row, in bytes.
     pub store_row_bytes: usize,
-    /// Whether the store takes transactions over several parts; no if absent.
+    /// Whether the store supports transactions across partitions; no if absent.
     #[serde(default)]
     pub store_across_parts: Option<bool>,
     /// Memory this process may use, in megabytes.
--- a/src/gateway/store/mod.rs
+++ b/src/gateway/store/mod.rs
@@ -127,13 +127,13 @@
     }
 
     /// Names of a table's parts after one of them, a page.
-    pub(crate) async fn parts(
+    pub(crate) async fn partitions(
         &self,
         table: &str,
         after: Option<&str>,
     ) -> Result<Vec<Box<str>>, StoreError> {
-        let (status, body) = self.call(&self.dialect.parts_call(table, after)).await?;
-        self.dialect.parts_reply(status, &body)
+        let (status, body) = self.call(&self.dialect.partitions_call(table, after)).await?;
+        self.dialect.partitions_reply(status, &body)
     }
 
     /// The store's steady clock, in milliseconds, as far as its last page of rows tells.
--- a/src/gateway/sweep.rs
+++ b/src/gateway/sweep.rs
@@ -105,10 +105,10 @@
     /// conditional on the ledger that was read.
     async fn take_lease(&self, pace: Duration) -> Result<bool, StoreError> {
         let key =
-            RowKey { table: DUTIES_TABLE.into(), part: Box::default(), key: SWEEP_KEY.into() };
+            RowKey { table: DUTIES_TABLE.into(), partition: Box::default(), key: SWEEP_KEY.into() };
         let range = RowRange {
             table: key.table.clone(),
-            part: Box::default(),
+            partition: Box::default(),
             from: Some(key.key.clone()),
             limit: Some(1),
         };
@@ -134,7 +134,7 @@
     async fn programs(&self) -> Result<Vec<ProgramName>, StoreError> {
         let mut programs: Vec<ProgramName> = Vec::new();
         loop {
-            let page = self.store.parts(TABLE, programs.last().map(|last| &**last)).await?;
+            let page = self.store.partitions(TABLE, programs.last().map(|last| &**last)).await?;
             let Some(last) = page.last().cloned() else { return Ok(programs) };
             if programs.last() == Some(&last) {
                 return Ok(programs);
@@ -147,7 +147,7 @@
     async fn expiry(&self, program: &ProgramName) -> Result<Option<(RowVersion, u64)>, StoreError> {
         let range = RowRange {
             table: TABLE.into(),
-            part: program.clone(),
+            partition: program.clone(),
             from: Some(LEDGER_KEY.into()),
             limit: Some(1),
         };
@@ -168,7 +168,7 @@
         loop {
             let range = RowRange {
                 table: TABLE.into(),
-                part: program.clone(),
+                partition: program.clone(),
                 from: None,
                 limit: Some(REMOVE_CHUNK),
             };
@@ -186,9 +186,9 @@
             }
             let checks = vec![(ledger.clone(), version)];
             let transaction = RowTransaction { checks, puts: Vec::new(), removals };
-            let parts = transaction.by_part();
+            let partitions = transaction.by_partition();
             let whole = [transaction];
-            let steps = if self.store.takes_across() { &whole[..] } else { &parts[..] };
+            let steps = if self.store.takes_across() { &whole[..] } else { &partitions[..] };
             for step in steps {
                 if !matches!(self.store.commit(step).await?, CommitReply::Committed(_)) {
                     return Ok(false);
--- a/src/gateway/turns/chain.rs
+++ b/src/gateway/turns/chain.rs
@@ -91,7 +91,7 @@
         let key = index_key(turn);
         let range = RowRange {
             table: key.table.clone(),
-            part: key.part.clone(),
+            partition: key.partition.clone(),
             from: Some(key.key.clone()),
             limit: Some(1),
         };
@@ -104,7 +104,7 @@
     /// Reads everything the store has of a program.
     pub(super) async fn load(&self, program: &ProgramName) -> Result<(), StoreError> {
         let mut range =
-            RowRange { table: TABLE.into(), part: program.clone(), from: None, limit: None };
+            RowRange { table: TABLE.into(), partition: program.clone(), from: None, limit: None };
         let mut rows = Vec::new();
         loop {
             let reply = self.store.range(&range).await?;
--- a/src/gateway/turns/rows.rs
+++ b/src/gateway/turns/rows.rs
@@ -8,7 +8,7 @@
 use crate::core::turns::{ProgramLedger, ProgramName, TurnId, TurnRecord, split_value};
 use crate::gateway::rows::{RowKey, RowTransaction, RowVersion, StoredRow};
 
-/// Table with the rows of programs; each program is a part of it.
+/// Table with the rows of programs; each program has a partition of its own.
 pub(crate) const TABLE: &str = "programs";
 /// Table that names the program of each turn.
 const INDEX_TABLE: &str = "turn-programs";
@@ -20,13 +20,13 @@
 const ROW_MARGIN: usize = 256;
 
 pub(crate) fn row_key(program: &ProgramName, key: &str) -> RowKey {
-    RowKey { table: TABLE.into(), part: program.clone(), key: key.into() }
+    RowKey { table: TABLE.into(), partition: program.clone(), key: key.into() }
 }
 
-/// The index row of a turn, in a part of its own: the store writes a part one transaction after
-/// another, so turns that share a part would wait for each other.
+/// The index row of a turn, in a partition of its own: the store applies the transactions of a
+/// partition one after another, so turns that share a partition would wait for each other.
 pub(crate) fn index_key(turn: &TurnId) -> RowKey {
-    RowKey { table: INDEX_TABLE.into(), part: turn.clone(), key: turn.clone() }
+    RowKey { table: INDEX_TABLE.into(), partition: turn.clone(), key: turn.clone() }
 }
 
 pub(crate) fn parse_turn_key(key: &str) -> Option<(TurnId, usize)> {
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -26,7 +26,7 @@
 }
 
 fn row(key: &str, value: Option<&str>) -> StoredRow {
-    let key = RowKey { table: "t".into(), part: "".into(), key: key.into() };
+    let key = RowKey { table: "t".into(), partition: "".into(), key: key.into() };
     StoredRow { key, value: value.map(|text| Bytes::from(text.to_owned())), version: 7 }
 }
 
@@ -340,8 +340,11 @@
 
 #[test]
 fn store_calls_are_spelled_as_the_platform_reads_them() {
-    let key =
-        |part: &str, key: &str| RowKey { table: "my".into(), part: part.into(), key: key.into() };
+    let key = |partition: &str, key: &str| RowKey {
+        table: "my".into(),
+        partition: partition.into(),
+        key: key.into(),
+    };
     let transaction = RowTransaction {
         checks: vec![(key("p", "a"), 3)],
         puts: vec![(key("p", "a"), Bytes::from_static(b"node-1"))],
@@ -350,13 +353,13 @@
     let commit = PlatformDialect.commit_call(&transaction);
     let range = RowRange {
         table: "my".into(),
-        part: "p 7".into(),
+        partition: "p 7".into(),
         from: Some("t/ä\0".into()),
         limit: Some(5),
     };
     let range = PlatformDialect.range_call(&range);
     let changes = PlatformDialect.changes_call("op", 530, Duration::from_millis(900));
-    let parts = PlatformDialect.parts_call("my", Some("a&b"));
+    let partitions = PlatformDialect.partitions_call("my", Some("a&b"));
     insta::assert_debug_snapshot!(
         (
             commit.target,
@@ -364,7 +367,7 @@
             range.target,
             changes.target,
             changes.hold,
-            parts.target,
+            partitions.target,
         ),
         @r#"
     (
--- a/tests/platform_workspaces.rs
+++ b/tests/platform_workspaces.rs
@@ -11,7 +11,7 @@
 use rstest::rstest;
 
 fn row(text: &str) -> StoredRow {
-    let key = RowKey { table: "t".into(), part: "".into(), key: "config".into() };
+    let key = RowKey { table: "t".into(), partition: "".into(), key: "config".into() };
     StoredRow { key, value: Some(Bytes::from(text.to_owned())), version: 7 }
 }
 
