--- a/src/gateway/feed/table_log_tests.rs
+++ b/src/gateway/feed/change_log_tests.rs
@@ -1,4 +1,4 @@
-//! Whatever changes a reader's log takes, a follower that hears of them now and then has the same rows.
+//! Guards against a follower whose rows differ from those of its reader.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use tokio::time::Instant;
 
-use super::table_log::NewsLog;
+use super::change_log::ChangeLog;
 use crate::gateway::rows::{RowKey, StoredRow};
 
 fn row(name: u8, version: u64, present: bool) -> StoredRow {
@@ -15,7 +15,6 @@
     StoredRow { key, value, version }
 }
 
-/// What a follower knows.
 #[derive(Default)]
 struct Follower {
     after: u64,
@@ -23,11 +22,11 @@
 }
 
 impl Follower {
-    fn ask(&mut self, log: &NewsLog) {
+    fn poll(&mut self, log: &ChangeLog) {
         let mut continues = false;
         loop {
             let page = log.since(self.after, continues);
-            if page.whole {
+            if page.complete {
                 self.rows.clear();
             }
             let last = page.rows.last().map(|row| row.version);
@@ -48,43 +47,42 @@
 }
 
 proptest! {
-    /// Rows come and go, the log is read anew at times, and a follower asks at any moment.
+    /// Guards against changes that are lost between polls or when the table is replaced.
     #[test]
-    fn a_follower_has_the_readers_rows(
+    fn follower_rows_match_the_log_after_any_changes(
         steps in prop::collection::vec((0_u8..6, any::<bool>(), 0_u8..8), 1..60)
     ) {
-        let mut log = NewsLog::default();
-        let mut truth: BTreeMap<Box<str>, StoredRow> = BTreeMap::new();
+        let mut log = ChangeLog::default();
+        let mut expected: BTreeMap<Box<str>, StoredRow> = BTreeMap::new();
         let mut follower = Follower::default();
         let now = Instant::now();
         log.replace(Vec::new(), 1, now);
-        for (number, (name, present, then)) in steps.into_iter().enumerate() {
+        for (number, (name, present, action)) in steps.into_iter().enumerate() {
             let version = number as u64 + 2;
             let changed = row(name, version, present);
             match present {
-                true => truth.insert(changed.key.key.clone(), changed.clone()),
-                false => truth.remove(&changed.key.key),
+                true => expected.insert(changed.key.key.clone(), changed.clone()),
+                false => expected.remove(&changed.key.key),
             };
-            match then {
-                0 => log.replace(truth.values().cloned().collect(), version, now),
+            match action {
+                0 => log.replace(expected.values().cloned().collect(), version, now),
                 _ => log.put(changed),
             }
             log.advance(version, now);
-            if then % 3 == 1 {
-                follower.ask(&log);
-                prop_assert_eq!(&follower.rows, &truth);
+            if action % 3 == 1 {
+                follower.poll(&log);
+                prop_assert_eq!(&follower.rows, &expected);
             }
         }
-        follower.ask(&log);
-        prop_assert_eq!(&follower.rows, &truth);
+        follower.poll(&log);
+        prop_assert_eq!(&follower.rows, &expected);
     }
 }
 
-/// So many rows go that the oldest removals are forgotten. A follower that missed them gets all rows,
-/// and so loses those that went; one that is up to date gets nothing.
+/// Guards against a follower that keeps removed rows because the log evicted their removals.
 #[test]
-fn a_follower_that_missed_forgotten_removals_gets_all_rows() {
-    let mut log = NewsLog::default();
+fn follower_behind_evicted_removals_gets_all_rows() {
+    let mut log = ChangeLog::default();
     log.replace(vec![row(0, 1, true)], 1, Instant::now());
     for version in 2..5_000 {
         let key =
@@ -92,43 +90,44 @@
         log.put(StoredRow { key, value: None, version });
     }
     log.advance(5_000, Instant::now());
-    let late = log.since(1, false);
-    assert!(late.whole);
-    assert_eq!(late.rows, [row(0, 1, true)]);
+    let page = log.since(1, false);
+    assert!(page.complete);
+    assert_eq!(page.rows, [row(0, 1, true)]);
     assert_eq!(log.since(5_000, false).rows, []);
 }
 
-/// Guards against a list of upstreams that grows beyond what one message holds.
+/// Guards against a list of upstreams that outgrows one message.
 #[test]
-fn a_long_list_is_told_in_pages() {
+fn long_table_is_sent_in_pages() {
     let rows = |from: u64| (from..=1_700).map(|name| long_row(name, name)).collect::<Vec<_>>();
-    let mut log = NewsLog::default();
+    let mut log = ChangeLog::default();
     log.replace(rows(1), 1_700, Instant::now());
     let first = log.since(0, false);
-    assert!(first.whole && first.more);
+    assert!(first.complete && first.more);
     assert!(first.rows.len() < 600, "{} rows", first.rows.len());
     let mut follower = Follower::default();
-    follower.ask(&log);
+    follower.poll(&log);
     assert_eq!(follower.rows.len(), 1_700);
 }
 
-/// Guards against a reader that tells everybody everything whenever the store drops its history.
+/// Guards against sending all rows to all followers whenever the store drops its history.
 #[test]
-fn a_list_read_anew_is_told_by_its_difference() {
-    let mut log = NewsLog::default();
+fn replaced_table_is_sent_as_its_difference() {
+    let mut log = ChangeLog::default();
     log.replace((1..=1_700).map(|name| long_row(name, name)).collect(), 1_700, Instant::now());
     let mut rows: Vec<_> = (2..=1_700).map(|name| long_row(name, name)).collect();
     rows[5] = long_row(7, 1_701);
     log.replace(rows, 1_702, Instant::now());
     let page = log.since(1_700, false);
-    let told: Vec<_> = page.rows.iter().map(|row| (&*row.key.key, row.value.is_some())).collect();
-    assert_eq!((page.whole, told), (false, vec![("7", true), ("1", false)]));
+    let changes: Vec<_> =
+        page.rows.iter().map(|row| (&*row.key.key, row.value.is_some())).collect();
+    assert_eq!((page.complete, changes), (false, vec![("7", true), ("1", false)]));
 }
 
-/// Guards against a late answer that takes back a newer row, which followers would never hear of.
+/// Guards against a late reply that overwrites a newer row.
 #[test]
-fn an_older_row_changes_nothing() {
-    let mut log = NewsLog::default();
+fn older_version_of_a_row_is_ignored() {
+    let mut log = ChangeLog::default();
     log.replace(vec![long_row(1, 5)], 5, Instant::now());
     log.put(long_row(1, 7));
     log.put(long_row(1, 6));
--- a/src/gateway/feed/follow.rs
+++ b/src/gateway/feed/follow.rs
@@ -1,4 +1,4 @@
-//! Asks the store for news of routes and upstreams, unless a reader tells them.
+//! Reads routes and upstreams from the store while this instance follows no reader.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,36 +10,34 @@
 use crate::node::platform::StoreError;
 use crate::util::pause::ClockMark;
 
-/// How long the store may hold a question for new routes. A connection that has gone silent is
-/// noticed only when this has passed, and routes must be in force within 2 s.
-const ROUTES_WAIT: Duration = Duration::from_millis(900);
-/// Shortest time between two questions for routes: a storm of versions is read at this pace.
-const ROUTES_PACE: Duration = Duration::from_millis(250);
-/// Time between two questions for upstreams. Each upstream writes every 1.2 s, so a question
-/// that waits for changes would be answered at once; 2 s are allowed until one that drains gets
-/// no new work.
-const UPSTREAMS_PACE: Duration = Duration::from_millis(700);
-/// Pause after a failed question.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// How long the store may hold a request for new routes. A silent connection is detected only after
+/// this time, and a new route must be in force within 2 s.
+const ROUTES_HOLD_TIMEOUT: Duration = Duration::from_millis(900);
+/// Limits the rate at which a burst of versions is read.
+const MIN_ROUTES_INTERVAL: Duration = Duration::from_millis(250);
+/// Upstreams are polled: each of them writes about every second, so a held request would return at
+/// once. A draining upstream must get no new work within 2 s.
+const UPSTREAMS_POLL_INTERVAL: Duration = Duration::from_millis(700);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 impl ChangeFeed {
     pub(super) async fn read_routes(&self) -> Result<(), StoreError> {
-        let asked = ClockMark::now();
+        let requested = ClockMark::now();
         let table = self.dialect.routes_table();
         let range =
             RowRange { table: table.into(), partition: Box::default(), from: None, limit: None };
         let reply = self.store.range(&range).await?;
-        self.replace_routes(reply.rows, reply.version, asked);
+        self.replace_routes(reply.rows, reply.version, requested);
         Ok(())
     }
 
-    /// Asks whether the routes have changed; they are long, so they are told only if they have.
+    /// Reads changes only, as the table of routes is long.
     pub(super) async fn check_routes(&self) -> Result<(), StoreError> {
         let mark = ClockMark::now();
         let after = self.route_log.borrow().head();
         match self.store.changes(self.dialect.routes_table(), after, Duration::ZERO).await? {
             ChangesReply::Changes { rows, version } => {
-                self.change_routes(rows, version, mark.steady(), mark);
+                self.update_routes(rows, version, mark.steady(), mark);
                 Ok(())
             }
             ChangesReply::HistoryGone => self.read_routes().await,
@@ -47,80 +45,86 @@
     }
 
     pub(crate) async fn follow_routes(self: Rc<Self>) {
-        self.first(|| self.read_routes()).await;
+        self.retry(|| self.read_routes()).await;
         let table = self.dialect.routes_table();
         loop {
-            self.unled().await;
+            self.until_not_following().await;
             let mark = ClockMark::now();
-            let asked = mark.steady();
+            let requested = mark.steady();
             let after = self.route_log.borrow().head();
-            match self.store.changes(table, after, ROUTES_WAIT).await {
+            match self.store.changes(table, after, ROUTES_HOLD_TIMEOUT).await {
                 Ok(ChangesReply::Changes { rows, version }) => {
-                    // Without changes it was held, and tells of the moment at which it was let go.
-                    let held = if rows.is_empty() { ROUTES_WAIT } else { Duration::ZERO };
-                    self.change_routes(rows, version, asked + held.min(asked.elapsed()), mark);
+                    // A reply without changes was held for the full time and is as recent as its
+                    // end.
+                    let held = if rows.is_empty() { ROUTES_HOLD_TIMEOUT } else { Duration::ZERO };
+                    self.update_routes(
+                        rows,
+                        version,
+                        requested + held.min(requested.elapsed()),
+                        mark,
+                    );
                 }
                 Ok(ChangesReply::HistoryGone) => {
                     log::info!("event=history_gone table={table} after={after}");
-                    self.first(|| self.read_routes()).await;
+                    self.retry(|| self.read_routes()).await;
                 }
-                Err(_) => sleep(RETRY_PAUSE).await,
+                Err(_) => sleep(RETRY_DELAY).await,
             }
-            sleep(ROUTES_PACE.saturating_sub(asked.elapsed())).await;
+            sleep(MIN_ROUTES_INTERVAL.saturating_sub(requested.elapsed())).await;
         }
     }
 
     async fn read_upstreams(&self) -> Result<(), StoreError> {
-        let asked = Instant::now();
+        let requested = Instant::now();
         let table = self.dialect.upstreams_table();
         let mut range =
             RowRange { table: table.into(), partition: Box::default(), from: None, limit: None };
         let mut rows = Vec::new();
-        let mut oldest = None;
+        let mut first_version = None;
         loop {
             let reply = self.store.range(&range).await?;
-            oldest = oldest.or(Some(reply.version));
+            first_version = first_version.or(Some(reply.version));
             let last = reply.rows.last().map(|row| format!("{}\0", row.key.key));
             rows.extend(reply.rows);
             let Some(next) = last.filter(|_| reply.truncated) else { break };
             range.from = Some(next.into());
-            // The store's bytes have a price, a peer's of the zone have none.
+            // Traffic from the store is billed, traffic within the zone is not.
             if !self.is_complete() && self.start_from_reader().await {
                 return Ok(());
             }
         }
-        self.replace_upstreams(rows, oldest.unwrap_or_default(), asked);
+        self.replace_upstreams(rows, first_version.unwrap_or_default(), requested);
         Ok(())
     }
 
     pub(crate) async fn follow_upstreams(self: Rc<Self>) {
-        self.first(|| self.read_upstreams()).await;
+        self.retry(|| self.read_upstreams()).await;
         let table = self.dialect.upstreams_table();
         loop {
-            self.unled().await;
-            let asked = Instant::now();
+            self.until_not_following().await;
+            let requested = Instant::now();
             let after = self.upstream_log.borrow().head();
             match self.store.changes(table, after, Duration::ZERO).await {
                 Ok(ChangesReply::Changes { rows, version }) => {
-                    self.change_upstreams(rows, version, asked);
+                    self.update_upstreams(rows, version, requested);
                 }
                 Ok(ChangesReply::HistoryGone) => {
                     log::info!("event=history_gone table={table} after={after}");
-                    self.first(|| self.read_upstreams()).await;
+                    self.retry(|| self.read_upstreams()).await;
                 }
                 Err(_) => {
-                    sleep(RETRY_PAUSE).await;
+                    sleep(RETRY_DELAY).await;
                     self.store.reachable().await;
                     continue;
                 }
             }
-            sleep(UPSTREAMS_PACE.saturating_sub(asked.elapsed())).await;
+            sleep(UPSTREAMS_POLL_INTERVAL.saturating_sub(requested.elapsed())).await;
         }
     }
 
-    /// Notes when the store is away. How long entries that vanished are doubted counts from its
-    /// return: counted from the next news, one that had really left was given work for longer than
-    /// the two seconds that are allowed, at an instance that had long been calm.
+    /// Records outages of the store. Entries that vanished are kept for a limited time from its
+    /// recovery; counted from the next change, an upstream that has left would get work for too
+    /// long.
     pub(crate) async fn follow_outages(self: Rc<Self>) {
         loop {
             self.store.unreachable().await;
@@ -130,21 +134,19 @@
         }
     }
 
-    /// Ends when no reader tells the news, at once if none does.
-    async fn unled(&self) {
+    async fn until_not_following(&self) {
         loop {
-            let released = self.released.notified();
-            if !self.is_led() {
+            let changed = self.reader_changed.notified();
+            if !self.is_following() {
                 return;
             }
-            released.await;
+            changed.await;
         }
     }
 
-    /// Tries until it succeeds.
-    async fn first<F: Future<Output = Result<(), StoreError>>>(&self, read: impl Fn() -> F) {
+    async fn retry<F: Future<Output = Result<(), StoreError>>>(&self, read: impl Fn() -> F) {
         while read().await.is_err() {
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 }
--- a/src/gateway/feed/messages.rs
+++ b/src/gateway/feed/messages.rs
@@ -1,4 +1,5 @@
-//! What a follower and a reader of news say to each other: a line of JSON, then the rows' values.
+//! Messages between a follower and its reader: a head in one line of JSON, then the values of the
+//! rows.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,37 +7,36 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use super::table_log::NewsPage;
+use super::change_log::ChangePage;
 use crate::gateway::rows::{RowKey, RowVersion, StoredRow};
 use crate::util::framed::{FrameError, frame, unframe};
 
-/// What a follower knows already.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) struct NewsQuestion {
+pub(super) struct WatchRequest {
     pub(super) routes_after: RowVersion,
     pub(super) upstreams_after: RowVersion,
-    /// Whether it goes on reading all upstreams from there, page by page.
+    /// Requests the next page of all upstreams, after `upstreams_after`.
     #[serde(default)]
     pub(super) continues: bool,
-    /// How long the reader may hold the question while there is nothing new.
+    /// How long the reader may hold the request while nothing has changed.
     pub(super) hold_ms: u64,
 }
 
-/// A changed row; its value, if it has one, follows the head.
+/// A changed row, whose value follows the head of the message.
 #[derive(Debug, Serialize, Deserialize)]
 struct RowHead {
     part: Box<str>,
     key: Box<str>,
     version: RowVersion,
-    /// Absent where the row was removed.
+    /// Size of the value; `None` if the row was removed.
     bytes: Option<usize>,
 }
 
-/// News of one table.
 #[derive(Debug, Serialize, Deserialize)]
 struct TableHead {
     head: RowVersion,
     age_ms: u64,
+    /// Sent for [`ChangePage::complete`].
     whole: bool,
     #[serde(default)]
     more: bool,
@@ -47,37 +47,34 @@
 struct ReplyHead {
     routes: TableHead,
     upstreams: TableHead,
-    /// How long ago the reader saw the store return, if that was lately.
+    /// Time since the reader saw the store recover, if recent.
     returned_ms: Option<u64>,
     held_ms: u64,
-    /// Instances between the store and the reader.
     #[serde(default)]
     hops: u32,
 }
 
-/// What a reader knows of one table.
 #[derive(Debug)]
-pub(super) struct TableNews {
-    /// All changes up to here are known to the reader.
+pub(super) struct TableChanges {
+    /// The reader knows all changes up to this version.
     pub(super) head: RowVersion,
-    /// How long before the reply the store was asked.
+    /// Time between the reader's request to the store and this reply.
     pub(super) age: Duration,
-    pub(super) page: NewsPage,
+    pub(super) page: ChangePage,
 }
 
-/// A reader's answer.
 #[derive(Debug)]
-pub(super) struct NewsReply {
-    pub(super) routes: TableNews,
-    pub(super) upstreams: TableNews,
-    pub(super) returned: Option<Duration>,
-    /// How long the reader held the question.
+pub(super) struct WatchReply {
+    pub(super) routes: TableChanges,
+    pub(super) upstreams: TableChanges,
+    /// Time since the reader saw the store recover, if recent.
+    pub(super) recovered: Option<Duration>,
     pub(super) held: Duration,
-    /// Instances between the store and the reader.
+    /// Number of instances between the store and the reader.
     pub(super) hops: u32,
 }
 
-impl TableNews {
+impl TableChanges {
     fn split(&self) -> (TableHead, impl Iterator<Item = &[u8]>) {
         let head = |row: &StoredRow| RowHead {
             part: row.key.partition.clone(),
@@ -88,7 +85,7 @@
         let table = TableHead {
             head: self.head,
             age_ms: self.age.as_millis() as u64,
-            whole: self.page.whole,
+            whole: self.page.complete,
             more: self.page.more,
             rows: self.page.rows.iter().map(head).collect(),
         };
@@ -112,16 +109,17 @@
         Ok(Self {
             head: head.head,
             age,
-            page: NewsPage { whole: head.whole, more: head.more, rows },
+            page: ChangePage { complete: head.whole, more: head.more, rows },
         })
     }
 }
 
-impl NewsReply {
-    /// Several pages as one reply; the first says whether they are all rows, the last up to when.
+impl WatchReply {
+    /// Joins pages into one reply. The first page tells whether they hold all rows, the last one is
+    /// the most recent.
     pub(super) fn join(pages: Vec<Self>) -> Option<Self> {
-        let whole = pages.first()?.upstreams.page.whole;
-        let whole_routes = pages.first()?.routes.page.whole;
+        let complete = pages.first()?.upstreams.page.complete;
+        let routes_complete = pages.first()?.routes.page.complete;
         let (mut rows, mut routes) = (Vec::new(), Vec::new());
         let mut last = None;
         for mut page in pages {
@@ -130,38 +128,37 @@
             last = Some(page);
         }
         let mut joined = last?;
-        // A row that changed meanwhile comes again, the newest last.
-        if whole {
+        // A row that changed between two pages occurs twice, the newest version last.
+        if complete {
             let newest: HashMap<RowKey, StoredRow> =
                 rows.into_iter().map(|row| (row.key.clone(), row)).collect();
             rows = newest.into_values().filter(|row| row.value.is_some()).collect();
         }
-        joined.routes.page = NewsPage { whole: whole_routes, more: false, rows: routes };
-        joined.upstreams.page = NewsPage { whole, more: false, rows };
+        joined.routes.page = ChangePage { complete: routes_complete, more: false, rows: routes };
+        joined.upstreams.page = ChangePage { complete, more: false, rows };
         Some(joined)
     }
 
     pub(super) fn encode(&self) -> Bytes {
         let (routes, route_values) = self.routes.split();
         let (upstreams, upstream_values) = self.upstreams.split();
-        let returned_ms = self.returned.map(|returned| returned.as_millis() as u64);
+        let returned_ms = self.recovered.map(|recovered| recovered.as_millis() as u64);
         let values: Vec<&[u8]> = route_values.chain(upstream_values).collect();
         let held_ms = self.held.as_millis() as u64;
         let hops = self.hops;
         frame(&ReplyHead { routes, upstreams, returned_ms, held_ms, hops }, &values)
     }
 
-    /// Reads a reply about these tables.
     pub(super) fn decode(
         text: &Bytes,
         routes_table: &str,
         upstreams_table: &str,
     ) -> Result<Self, FrameError> {
         let (head, mut values): (ReplyHead, Bytes) = unframe(text)?;
-        let routes = TableNews::join(routes_table, head.routes, &mut values)?;
-        let upstreams = TableNews::join(upstreams_table, head.upstreams, &mut values)?;
-        let returned = head.returned_ms.map(Duration::from_millis);
+        let routes = TableChanges::join(routes_table, head.routes, &mut values)?;
+        let upstreams = TableChanges::join(upstreams_table, head.upstreams, &mut values)?;
+        let recovered = head.returned_ms.map(Duration::from_millis);
         let held = Duration::from_millis(head.held_ms);
-        Ok(Self { routes, upstreams, returned, held, hops: head.hops })
+        Ok(Self { routes, upstreams, recovered, held, hops: head.hops })
     }
 }
--- a/src/gateway/feed/mod.rs
+++ b/src/gateway/feed/mod.rs
@@ -1,15 +1,15 @@
-//! What the store says of routes and upstreams, and how it comes here: from the store itself, or from
-//! an instance of the zone that reads it for others.
+//! The change feed of routes and upstreams, read from the store or from an instance of the zone
+//! that reads the store for others.
 
 mod follow;
 
+mod change_log;
+#[cfg(test)]
+mod change_log_tests;
 mod messages;
 #[cfg(test)]
 mod messages_tests;
 mod reader;
-mod table_log;
-#[cfg(test)]
-mod table_log_tests;
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 use tokio::sync::{Mutex, Notify};
 use tokio::time::Instant;
 
-use self::table_log::NewsLog;
+use self::change_log::ChangeLog;
 use super::dialect::GatewayDialect;
 use super::http::ConnectionPool;
 use super::quotas::QuotaSource;
@@ -33,37 +33,35 @@
 
 pub(crate) use self::reader::{FEED_PATH, FeedReaders};
 
-/// Routes confirmed so lately need not be asked for again to say that one does not exist. It is less
-/// than the time in which a new route must be in force.
-const FRESH: Duration = Duration::from_millis(1_500);
+/// Routes that were confirmed within this time are not read again before a request for an unknown
+/// route is denied. It is shorter than the time in which a new route must be in force.
+const FRESH_ROUTES_MAX_AGE: Duration = Duration::from_millis(1_500);
 
-/// What the instance knows from the store's news.
 pub(crate) struct ChangeFeed {
     store: Rc<StoreLink>,
     pool: Rc<ConnectionPool>,
     dialect: Rc<dyn GatewayDialect>,
     routes: RefCell<TableView>,
-    /// When the question was sent that last confirmed the routes.
-    routes_asked: Cell<Option<ClockMark>>,
+    /// Time of the request that last confirmed the routes.
+    routes_requested: Cell<Option<ClockMark>>,
     pub(crate) upstreams: RefCell<UpstreamTable>,
-    upstreams_known: Cell<bool>,
-    /// What each row of an upstream said last; none if it could not be read.
-    listed: RefCell<BTreeMap<UpstreamId, Option<UpstreamEntry>>>,
-    /// Versions of entries that could not be read, so that each is told of once.
+    upstreams_loaded: Cell<bool>,
+    /// Last entry of each row; `None` if it could not be decoded.
+    last_entries: RefCell<BTreeMap<UpstreamId, Option<UpstreamEntry>>>,
+    /// Versions of entries that could not be decoded, so that each is logged once.
     rejected: RefCell<BTreeMap<UpstreamId, RowVersion>>,
-    route_log: RefCell<NewsLog>,
-    upstream_log: RefCell<NewsLog>,
-    /// Tells of changes, for followers that wait for them.
+    route_log: RefCell<ChangeLog>,
+    upstream_log: RefCell<ChangeLog>,
+    /// Wakes requests of followers.
     changed: Notify,
-    /// Whether a reader tells the news, so that this instance does not ask the store.
-    led: Cell<bool>,
-    /// Instances between the store and this one.
+    /// While set, a reader provides the feed and this instance does not read the store.
+    following: Cell<bool>,
+    /// Number of instances between the store and this one.
     hops: Cell<u32>,
-    /// Who reads news for this instance.
+    /// `None` if readers are disabled.
     readers: Option<Rc<dyn FeedReaders>>,
-    /// Tells of the end of that.
-    released: Notify,
-    /// Held while the routes are read for requests that wait.
+    reader_changed: Notify,
+    /// Serializes reads of the routes, so that waiting callers share one.
     refresh: Mutex<()>,
 }
 
@@ -79,18 +77,18 @@
             pool,
             dialect,
             routes: RefCell::default(),
-            routes_asked: Cell::new(None),
+            routes_requested: Cell::new(None),
             upstreams: RefCell::default(),
-            upstreams_known: Cell::new(false),
-            listed: RefCell::default(),
+            upstreams_loaded: Cell::new(false),
+            last_entries: RefCell::default(),
             rejected: RefCell::default(),
             route_log: RefCell::default(),
             upstream_log: RefCell::default(),
             changed: Notify::new(),
-            led: Cell::new(false),
+            following: Cell::new(false),
             hops: Cell::new(0),
             readers,
-            released: Notify::new(),
+            reader_changed: Notify::new(),
             refresh: Mutex::new(()),
         }
     }
@@ -99,31 +97,30 @@
         self.routes.borrow().current()
     }
 
-    /// How long ago the routes were last read or confirmed; zero while none are known.
+    /// Time since the routes were last confirmed; zero before they are first read.
     pub(crate) fn routes_age(&self) -> Duration {
         self.routes.borrow().confirmed_at().map_or(Duration::ZERO, |at| at.elapsed())
     }
 
-    /// Whether requests can be served: routes and upstreams have been read at least once.
+    /// Returns true once routes and upstreams have been read, so that requests can be served.
     pub(crate) fn is_complete(&self) -> bool {
-        self.upstreams_known.get() && self.routes.borrow().current().is_some()
+        self.upstreams_loaded.get() && self.routes.borrow().current().is_some()
     }
 
-    /// Whether a peer reads the store's news for this instance.
-    pub(crate) fn is_led(&self) -> bool {
-        self.led.get()
+    pub(crate) fn is_following(&self) -> bool {
+        self.following.get()
     }
 
-    /// Reads the routes again unless that was done just now; false if they cannot be had.
+    /// Reads the routes again unless they were just confirmed; false if the store does not answer.
     ///
-    /// An instance that was paused, or whose news were late, would deny a route or a key that was added
-    /// meanwhile. All that ask at a time share one question, and while the store is away none is sent,
-    /// so a flood of unknown keys is no flood of questions.
+    /// Without it, an instance that was paused or lags behind would deny a route or key that was
+    /// added meanwhile. Concurrent callers share one request, so that a flood of unknown keys does
+    /// not reach the store.
     pub(crate) async fn refresh_routes(&self) -> bool {
         if self.has_fresh_routes() {
             return true;
         }
-        let _turn = self.refresh.lock().await;
+        let _guard = self.refresh.lock().await;
         if self.has_fresh_routes() {
             return true;
         }
@@ -132,52 +129,59 @@
 
     fn has_fresh_routes(&self) -> bool {
         let confirmed = self.routes.borrow().confirmed_at();
-        let paused = self.routes_asked.get().is_some_and(|asked| asked.is_paused());
-        confirmed.is_some_and(|at| at.elapsed() < FRESH) && !paused
+        let paused = self.routes_requested.get().is_some_and(|requested| requested.is_paused());
+        confirmed.is_some_and(|at| at.elapsed() < FRESH_ROUTES_MAX_AGE) && !paused
     }
 
-    /// Reads the routes if they are older than a version that a peer has, however lately they were
-    /// confirmed: a reader that is a little behind confirms them too.
-    pub(crate) async fn catch_up(&self, heard: TableVersion) {
-        let _turn = self.refresh.lock().await;
+    /// Reads the routes if a peer has a newer version, even if they were just confirmed: a reader
+    /// that lags behind confirms outdated routes.
+    pub(crate) async fn catch_up(&self, peer_version: TableVersion) {
+        let _guard = self.refresh.lock().await;
         let version = self.routes().map_or(TableVersion::MAX, |table| table.version);
-        if version < heard
+        if version < peer_version
             && let Err(error) = self.check_routes().await
         {
-            log::info!("event=routes_behind version={version} heard={heard} error=\"{error}\"");
+            log::info!(
+                "event=routes_behind version={version} heard={peer_version} error=\"{error}\""
+            );
         }
     }
 
-    /// Takes all rows of the routes' table.
-    fn replace_routes(&self, rows: Vec<StoredRow>, head: RowVersion, asked: ClockMark) {
+    fn replace_routes(&self, rows: Vec<StoredRow>, head: RowVersion, requested: ClockMark) {
         for row in &rows {
-            self.take_routes(row);
+            self.apply_routes(row);
         }
-        self.route_log.borrow_mut().replace(rows, head, asked.steady());
-        self.confirm_routes(asked.steady(), asked);
+        self.route_log.borrow_mut().replace(rows, head, requested.steady());
+        self.confirm_routes(requested.steady(), requested);
         self.changed.notify_waiters();
     }
 
-    /// Notes that the routes were the newest at a moment, by the answer to a question of another one.
-    fn confirm_routes(&self, at: Instant, asked: ClockMark) {
+    /// Records that the routes were current at `at`, by the reply to a request sent at `requested`.
+    fn confirm_routes(&self, at: Instant, requested: ClockMark) {
         self.routes.borrow_mut().confirm(at);
-        self.routes_asked.set(Some(asked));
+        self.routes_requested.set(Some(requested));
     }
 
-    /// Takes changes of the routes' table, all up to `head`, as of a moment.
-    fn change_routes(&self, rows: Vec<StoredRow>, head: RowVersion, at: Instant, asked: ClockMark) {
+    /// Applies all changes up to `head`, as of `at`.
+    fn update_routes(
+        &self,
+        rows: Vec<StoredRow>,
+        head: RowVersion,
+        at: Instant,
+        requested: ClockMark,
+    ) {
         let mut log = self.route_log.borrow_mut();
         for row in rows {
-            self.take_routes(&row);
+            self.apply_routes(&row);
             log.put(row);
             self.changed.notify_waiters();
         }
         log.advance(head, at);
-        self.confirm_routes(at, asked);
+        self.confirm_routes(at, requested);
     }
 
-    /// Takes a version of the routes; one that cannot be read leaves the last good one in force.
-    fn take_routes(&self, row: &StoredRow) {
+    /// A version that cannot be decoded leaves the previous one in force.
+    fn apply_routes(&self, row: &StoredRow) {
         let table = match self.dialect.route_table(row) {
             Ok(Some(table)) => table,
             Ok(None) => return,
@@ -195,43 +199,41 @@
         log::info!(
             "event=routes_applied version={version} routes={routes} workspaces={} led={}",
             workspaces.map_or("open".into(), |workspaces| workspaces.len().to_string()),
-            self.is_led()
+            self.is_following()
         );
         for problem in workspaces.map_or(&[][..], |workspaces| workspaces.invalid_keys()) {
             log::error!("event=key_unusable version={version} problem=\"{problem}\"");
         }
     }
 
-    /// Takes all rows of the upstreams' table.
-    fn replace_upstreams(&self, rows: Vec<StoredRow>, head: RowVersion, asked: Instant) {
+    fn replace_upstreams(&self, rows: Vec<StoredRow>, head: RowVersion, requested: Instant) {
         let read: Vec<_> = rows.iter().map(|row| (row, self.read_entry(row))).collect();
         let entries: Vec<_> = read.iter().filter_map(|(_, entry)| entry.clone()).collect();
-        log::info!("event=upstreams_read count={} led={}", entries.len(), self.is_led());
+        log::info!("event=upstreams_read count={} led={}", entries.len(), self.is_following());
         let listed = read.into_iter().map(|(row, entry)| (row.key.key.clone(), entry));
-        *self.listed.borrow_mut() = listed.collect();
+        *self.last_entries.borrow_mut() = listed.collect();
         let mut upstreams = self.upstreams.borrow_mut();
         upstreams.replace(entries, Instant::now());
-        self.forget_left(&mut upstreams);
-        self.upstreams_known.set(true);
-        self.upstream_log.borrow_mut().replace(rows, head, asked);
+        self.close_stale_connections(&mut upstreams);
+        self.upstreams_loaded.set(true);
+        self.upstream_log.borrow_mut().replace(rows, head, requested);
         self.changed.notify_waiters();
     }
 
-    /// Takes changes of the upstreams' table, all up to `head`.
-    fn change_upstreams(&self, rows: Vec<StoredRow>, head: RowVersion, asked: Instant) {
+    fn update_upstreams(&self, rows: Vec<StoredRow>, head: RowVersion, requested: Instant) {
         let now = Instant::now();
         let mut upstreams = self.upstreams.borrow_mut();
         for row in rows {
-            self.change_upstream(&mut upstreams, row, now);
+            self.update_upstream(&mut upstreams, row, now);
         }
-        self.forget_left(&mut upstreams);
+        self.close_stale_connections(&mut upstreams);
         for upstream in upstreams.expire(now) {
             log::info!("event=upstream_changed upstream={upstream} state=lapsed");
         }
-        self.upstream_log.borrow_mut().advance(head, asked);
+        self.upstream_log.borrow_mut().advance(head, requested);
     }
 
-    fn change_upstream(&self, upstreams: &mut UpstreamTable, row: StoredRow, now: Instant) {
+    fn update_upstream(&self, upstreams: &mut UpstreamTable, row: StoredRow, now: Instant) {
         let id = row.key.key.clone();
         let entry = self.read_entry(&row);
         let update = match &entry {
@@ -244,25 +246,25 @@
             log::info!(
                 "event=upstream_changed upstream={id} state={state} version={} led={}",
                 row.version,
-                self.is_led()
+                self.is_following()
             );
         }
-        // Upstreams write every second or so; followers are told only of what differs.
+        // Upstreams rewrite their entries all the time; followers get only those that differ.
         let removed = row.value.is_none();
-        let same = self.listed.borrow().get(&id) == Some(&entry);
+        let same = self.last_entries.borrow().get(&id) == Some(&entry);
         if same && !removed {
             return;
         }
         match removed {
-            true => self.listed.borrow_mut().remove(&id),
-            false => self.listed.borrow_mut().insert(id, entry),
+            true => self.last_entries.borrow_mut().remove(&id),
+            false => self.last_entries.borrow_mut().insert(id, entry),
         };
         self.upstream_log.borrow_mut().put(row);
         self.changed.notify_waiters();
     }
 
-    /// What a row says of an upstream; none if it names no upstream to use. Then whatever stood in
-    /// the row before is gone, and all other rows hold.
+    /// Returns `None` for a row that is removed or cannot be decoded. Its previous entry is
+    /// dropped; other rows are unaffected.
     fn read_entry(&self, row: &StoredRow) -> Option<UpstreamEntry> {
         if row.value.is_none() {
             self.rejected.borrow_mut().remove(&row.key.key);
@@ -285,7 +287,7 @@
         None
     }
 
-    fn forget_left(&self, upstreams: &mut UpstreamTable) {
+    fn close_stale_connections(&self, upstreams: &mut UpstreamTable) {
         for address in upstreams.take_stale_addresses() {
             self.pool.forget(&address);
         }
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -216,7 +216,7 @@
         let version = self.feed.routes().map_or(0, |table| table.version);
         self.members.set_head(version);
         let (heard, since) = self.members.heard_head();
-        let patience = if self.feed.is_led() { READER_PATIENCE } else { Duration::ZERO };
+        let patience = if self.feed.is_following() { READER_PATIENCE } else { Duration::ZERO };
         if heard > version && version > 0 && since.elapsed() >= patience {
             self.feed.catch_up(heard).await;
         }
