--- a/src/gateway/committer.rs
+++ b/src/gateway/committer.rs
@@ -81,7 +81,7 @@
         transaction: RowTransaction,
         patience: Duration,
     ) -> CommitResult {
-        if !self.store.takes_across() {
+        if !self.store.supports_cross_partition() {
             return self.commit_by_partition(&transaction).await;
         }
         let (reply, answered) = oneshot::channel();
--- a/src/gateway/offer.rs
+++ b/src/gateway/offer.rs
@@ -42,7 +42,7 @@
     /// all instances are alike, and none withdraws.
     pub(crate) fn update_offer(&self) {
         let withdraws = self.settings.uses(GatewayMechanism::OfferWithdrawal);
-        let relayed = self.store.relayed().filter(|_| withdraws);
+        let relayed = self.store.relayed_for().filter(|_| withdraws);
         match self.offer.state.get() {
             _ if self.is_draining() => {}
             OfferState::Silent if self.is_ready() => {
--- a/src/gateway/store/mod.rs
+++ b/src/gateway/store/mod.rs
@@ -1,11 +1,12 @@
-//! The one way to the platform's store: directly, or by a peer where this instance is cut off.
+//! Client of the platform's store. Calls go directly, or through a peer if this instance cannot
+//! reach the store.
 
 mod health;
+mod paths;
 mod relay;
 mod relay_order;
 #[cfg(test)]
 mod relay_tests;
-mod ways;
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -16,9 +17,9 @@
 use tokio::time::{Instant, sleep};
 
 use self::health::StoreHealth;
+use self::paths::StorePath;
 use self::relay::{RelayReply, RelayRequest};
 use self::relay_order::RelayOrder;
-use self::ways::StoreWay;
 use super::dialect::GatewayDialect;
 use super::http::ConnectionPool;
 use super::metrics::StoreMeter;
@@ -29,20 +30,19 @@
 
 pub(crate) use self::relay::{RELAY_PATH, RelayError};
 
-/// While no way works, a question looks this often whether the store is back.
-const PROBE_PACE: Duration = Duration::from_millis(250);
-/// While only the direct way fails, a question looks this often whether it works again: nobody waits
-/// for it, and each counts as a call of the store.
-const DIRECT_PROBE_PACE: Duration = Duration::from_millis(500);
+/// Interval of probes while no path works.
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval of probes while only the direct path fails. It is longer, as no caller waits for it and
+/// each probe counts as a store call.
+const DIRECT_PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Addresses of peers that may relay, those that are likelier to reach the store first.
 pub(crate) trait RelayPeers {
+    /// Peers that may relay, those that are likelier to reach the store first.
     fn relay_addresses(&self) -> Vec<Box<str>>;
 }
 
 type StoreAnswer = Result<(u16, Bytes), StoreError>;
 
-/// The client of the store.
 pub(crate) struct StoreLink {
     address: Box<str>,
     pool: Rc<ConnectionPool>,
@@ -50,12 +50,12 @@
     peers: RefCell<Option<Rc<dyn RelayPeers>>>,
     relays: RefCell<RelayOrder>,
     health: RefCell<StoreHealth>,
-    /// Tells of every loss and return of the store.
+    /// Notified when the store becomes unavailable or recovers.
     changed: Notify,
     meter: StoreMeter,
-    /// The store's clock and when it was read.
+    /// The store's clock and the local time at which it was read.
     clock: Cell<Option<(Duration, Instant)>>,
-    across: bool,
+    cross_partition: bool,
 }
 
 impl StoreLink {
@@ -63,7 +63,7 @@
         address: &str,
         pool: Rc<ConnectionPool>,
         dialect: Rc<dyn GatewayDialect>,
-        across: bool,
+        cross_partition: bool,
         meter: StoreMeter,
     ) -> Self {
         Self {
@@ -76,34 +76,33 @@
             changed: Notify::new(),
             meter,
             clock: Cell::new(None),
-            across,
+            cross_partition,
         }
     }
 
-    /// Sets who may relay calls.
     pub(crate) fn set_peers(&self, peers: Rc<dyn RelayPeers>) {
         *self.peers.borrow_mut() = Some(peers);
     }
 
-    /// How long no way to the store has worked; none while one does.
+    /// Time since the store became unavailable over all paths; `None` while it is available.
     pub(crate) fn outage(&self) -> Option<Duration> {
-        self.health.borrow().lost().map(|since| since.elapsed())
+        self.health.borrow().unavailable_since().map(|since| since.elapsed())
     }
 
-    /// Ends when the store is reachable, at once if it is.
+    /// Waits until the store is available.
     pub(crate) async fn reachable(&self) {
-        self.until(false).await;
+        self.wait_for_outage(false).await;
     }
 
-    /// Ends when no way to the store works.
+    /// Waits until no path to the store works.
     pub(crate) async fn unreachable(&self) {
-        self.until(true).await;
+        self.wait_for_outage(true).await;
     }
 
-    async fn until(&self, away: bool) {
+    async fn wait_for_outage(&self, outage: bool) {
         loop {
             let changed = self.changed.notified();
-            if self.outage().is_some() == away {
+            if self.outage().is_some() == outage {
                 return;
             }
             changed.await;
@@ -126,7 +125,7 @@
         Ok(reply)
     }
 
-    /// Names of a table's parts after one of them, a page.
+    /// Returns one page of the names of a table's partitions that sort after `after`.
     pub(crate) async fn partitions(
         &self,
         table: &str,
@@ -136,25 +135,23 @@
         self.dialect.partitions_reply(status, &body)
     }
 
-    /// The store's steady clock, in milliseconds, as far as its last page of rows tells.
+    /// The store's monotonic clock in milliseconds, extrapolated from the last range read.
     pub(crate) fn now_millis(&self) -> u64 {
         let now = self.clock.get().map_or(Duration::ZERO, |(now, read)| now + read.elapsed());
         now.as_millis() as u64
     }
 
-    /// Whether the store answers far more slowly than it usually does.
     pub(crate) fn is_slow(&self) -> bool {
         self.health.borrow().is_slow()
     }
 
-    /// Whether the store refuses only some writes, for their rate.
+    /// Returns true if the store refuses some calls with 429 and answers others.
     pub(crate) fn is_over_rate(&self) -> bool {
         self.health.borrow().is_over_rate()
     }
 
-    /// Whether transactions may concern several parts.
-    pub(crate) fn takes_across(&self) -> bool {
-        self.across
+    pub(crate) fn supports_cross_partition(&self) -> bool {
+        self.cross_partition
     }
 
     pub(crate) async fn changes(
@@ -167,79 +164,79 @@
         self.dialect.changes_reply(status, &body)
     }
 
-    /// Makes a call unless the store is away; then nothing is sent.
+    /// Fails without sending anything while the store is unavailable.
     async fn call(&self, call: &StoreCall) -> StoreAnswer {
         if self.outage().is_some() {
             return Err(StoreError::Unavailable);
         }
         let begun = Instant::now();
-        let result = self.race(call).await;
+        let result = self.call_hedged(call).await;
         if matches!(result, Err(StoreError::Unavailable | StoreError::ReplyLost)) {
-            // From now on calls fail at once, until a probe finds the store.
-            if self.health.borrow_mut().failed(begun) {
+            if self.health.borrow_mut().record_failure(begun) {
                 self.changed.notify_waiters();
             }
         }
         result
     }
 
-    /// How long calls have gone by peers because the direct way fails; none while it works or no way
-    /// does.
-    pub(crate) fn relayed(&self) -> Option<Duration> {
-        self.health.borrow().relayed()
+    /// Time since calls are relayed by peers because the direct path fails; `None` while it works
+    /// or no path does.
+    pub(crate) fn relayed_for(&self) -> Option<Duration> {
+        self.health.borrow().relayed_for()
     }
 
-    /// Looks for the store while it is away. Probes overlap: one that hangs must not keep the next
-    /// from finding that the store is back.
+    /// Probes the store while it is unavailable. Probes overlap, so that one that hangs does not
+    /// delay the detection of its recovery.
     pub(crate) async fn watch(self: Rc<Self>) {
-        let mut direct_at = Instant::now();
+        let mut next_direct_probe = Instant::now();
         loop {
-            sleep(PROBE_PACE).await;
-            let direct_lost = self.health.borrow().is_direct_lost();
+            sleep(PROBE_INTERVAL).await;
+            let direct_unavailable = self.health.borrow().is_direct_unavailable();
             if self.outage().is_some() {
                 actix_rt::spawn(self.clone().probe());
-            } else if direct_lost && Instant::now() >= direct_at {
-                direct_at = Instant::now() + DIRECT_PROBE_PACE;
+            } else if direct_unavailable && Instant::now() >= next_direct_probe {
+                next_direct_probe = Instant::now() + DIRECT_PROBE_INTERVAL;
                 actix_rt::spawn(self.clone().probe_direct());
             }
         }
     }
 
-    /// Looks whether the direct way works again, so that no call of a caller has to find out.
+    /// Probes the direct path, so that no caller's call is spent on it.
     async fn probe_direct(self: Rc<Self>) {
         let table = self.dialect.routes_table();
         let call = self.dialect.changes_call(table, RowVersion::MAX / 2, Duration::ZERO);
-        let limit = Instant::now() + self.health.borrow().limit();
-        // An answer is noted where it arrives; a failure changes nothing.
-        let _ = self.send(StoreWay::Direct { fresh: true }, &call, limit).await;
+        let deadline = Instant::now() + self.health.borrow().timeout();
+        // `send` records an answer; a failure changes nothing.
+        let _ = self.send(StorePath::Direct { fresh: true }, &call, deadline).await;
     }
 
     async fn probe(self: Rc<Self>) {
         let table = self.dialect.routes_table();
         let call = self.dialect.changes_call(table, RowVersion::MAX / 2, Duration::ZERO);
-        if self.race(&call).await.is_err() {
+        if self.call_hedged(&call).await.is_err() {
             return;
         }
-        let lost = self.health.borrow_mut().returned();
-        if let Some(since) = lost {
+        let unavailable_since = self.health.borrow_mut().record_recovery();
+        if let Some(since) = unavailable_since {
             let outage_ms = since.elapsed().as_millis();
             log::info!("event=dependency_regained dependency=store way=any outage_ms={outage_ms}");
             self.changed.notify_waiters();
         }
     }
 
-    /// Makes a call for a peer; none if the store did not answer it.
+    /// Makes a store call on behalf of a peer.
     pub(crate) async fn serve_relay(&self, request: &[u8]) -> Result<Bytes, RelayError> {
         let call = RelayRequest::parse(request)?;
-        if self.health.borrow().is_direct_lost() {
+        if self.health.borrow().is_direct_unavailable() {
             return Err(RelayError::CutOff);
         }
-        let limit = Instant::now() + call.hold + self.health.borrow().limit();
-        let way = StoreWay::Direct { fresh: false };
-        let (status, body) = self.send(way, &call, limit).await.map_err(|error| match error {
-            StoreError::Unavailable => RelayError::CutOff,
-            StoreError::ReplyLost | StoreError::Malformed { .. } => RelayError::NoAnswer,
-        })?;
+        let deadline = Instant::now() + call.hold + self.health.borrow().timeout();
+        let path = StorePath::Direct { fresh: false };
+        let (status, body) =
+            self.send(path, &call, deadline).await.map_err(|error| match error {
+                StoreError::Unavailable => RelayError::CutOff,
+                StoreError::ReplyLost | StoreError::Malformed { .. } => RelayError::NoAnswer,
+            })?;
         Ok(RelayReply::new(status, &body).encode())
     }
 }
--- a/src/gateway/store/ways.rs
+++ b/src/gateway/store/paths.rs
@@ -1,4 +1,4 @@
-//! The ways of one call to the store: directly, over a fresh connection, or by a peer.
+//! Sends a store call over its paths: directly, over a new connection, or through a peer.
 
 use std::time::Duration;
 
@@ -7,45 +7,44 @@
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use tokio::time::{Instant, sleep_until};
 
-use super::relay::{RELAY_PATH, RelayRequest, read_relay};
+use super::relay::{RELAY_PATH, RelayRequest, decode_reply};
 use super::{StoreAnswer, StoreLink};
 use crate::gateway::http::ExchangeError;
 use crate::gateway::rows::StoreCall;
 use crate::node::platform::StoreError;
 
-/// Factor between the wait before a call takes its second way and that before the third: a store that
-/// has turned slow must not get each call four times.
+/// Growth of the delay from one path to the next, so that a store that has become slow does not get
+/// each call over all paths.
 const HEDGE_BACKOFF: u32 = 3;
-/// Peers asked for one call: those that serve callers reach the store as a rule, and with half of the
-/// others cut off as well, three find the way in 7 of 8.
-const RELAY_TRIES: usize = 3;
-/// A way to the store.
+/// Enough that one of the peers most likely reaches the store, even if many are cut off as well.
+const MAX_RELAY_ATTEMPTS: usize = 3;
+
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum StoreWay {
+pub(super) enum StorePath {
     Direct {
-        /// Whether to open a connection: kept ones may have gone silent.
+        /// Opens a new connection, as pooled ones may have gone silent.
         fresh: bool,
     },
     Peer(Box<str>),
 }
 
-impl StoreWay {
+impl StorePath {
     fn is_direct(&self) -> bool {
         matches!(self, Self::Direct { .. })
     }
 }
 
 impl StoreLink {
-    /// Sends a call one way, after a while or a failure another way too; the first answer counts.
+    /// Sends a call over one path, and over the next one after a delay or a failure; the first
+    /// answer counts.
     ///
-    /// Where a peer answers while the direct way is silent, that way counts as lost at once. Left to
-    /// time out, each call of an instance behind a cut waited 400 to 520 ms for its peer (one turn in
-    /// ten to fifty, for as long as the cut lasted).
-    pub(super) async fn race(&self, call: &StoreCall) -> StoreAnswer {
+    /// If a peer answers while the direct path is silent, the direct path counts as failed at once.
+    /// Otherwise each call of an instance that is cut off would wait for the hedge delay.
+    pub(super) async fn call_hedged(&self, call: &StoreCall) -> StoreAnswer {
         let health = *self.health.borrow();
         let begun = Instant::now();
-        let limit = begun + call.hold + health.limit();
-        let mut ways = self.ways().into_iter();
+        let deadline = begun + call.hold + health.timeout();
+        let mut paths = self.paths().into_iter();
         let mut running = FuturesUnordered::new();
         let mut direct_running: usize = 0;
         let mut next_at = begun;
@@ -53,11 +52,12 @@
         let mut result = Err(StoreError::Unavailable);
         loop {
             if Instant::now() >= next_at || running.is_empty() {
-                match ways.next() {
-                    Some(way) => {
-                        let direct = way.is_direct();
+                match paths.next() {
+                    Some(path) => {
+                        let direct = path.is_direct();
                         direct_running += usize::from(direct);
-                        running.push(async move { (direct, self.send(way, call, limit).await) });
+                        running
+                            .push(async move { (direct, self.send(path, call, deadline).await) });
                     }
                     None if running.is_empty() => return result,
                     None => {}
@@ -65,10 +65,10 @@
                 next_at = Instant::now() + call.hold + delay;
                 delay *= HEDGE_BACKOFF;
             }
-            let wake = if ways.len() == 0 { limit } else { next_at.min(limit) };
+            let wake = if paths.len() == 0 { deadline } else { next_at.min(deadline) };
             let (direct, answer) = tokio::select! {
                 Some(answered) = running.next() => answered,
-                () = sleep_until(wake) => match Instant::now() >= limit {
+                () = sleep_until(wake) => match Instant::now() >= deadline {
                     true => return Err(StoreError::ReplyLost),
                     false => continue,
                 },
@@ -77,78 +77,78 @@
             match answer {
                 Ok(answer) => {
                     if !direct && direct_running > 0 {
-                        self.health.borrow_mut().direct_failed(begun, &StoreError::ReplyLost);
+                        self.health
+                            .borrow_mut()
+                            .record_direct_failure(begun, &StoreError::ReplyLost);
                     }
                     return Ok(answer);
                 }
-                // Every other way ends at the same rate: with each refused call sent up to four times
-                // more, 74,000 calls became 221,000 (62 instances, 840 turns a second). What is under
-                // way may still take effect.
+                // The other paths end at the same overloaded partition and would multiply its load.
+                // Calls in flight may still take effect.
                 Err(StoreError::Unavailable) if direct && self.is_over_rate() => {
-                    ways = Vec::new().into_iter();
+                    paths = Vec::new().into_iter();
                 }
-                // What may have taken effect outweighs what has not.
+                // An error after which the call may have taken effect takes precedence.
                 Err(StoreError::Unavailable) => {}
                 Err(error) => result = Err(error),
             }
         }
     }
 
-    /// The ways in the order in which to try them.
-    fn ways(&self) -> Vec<StoreWay> {
+    fn paths(&self) -> Vec<StorePath> {
         let peers = self.peers.borrow().as_ref().map(|peers| peers.relay_addresses());
         let peers = self.relays.borrow().order(peers.unwrap_or_default());
-        let peers = peers.into_iter().take(RELAY_TRIES).map(StoreWay::Peer);
-        if self.health.borrow().is_direct_lost() {
-            return peers.chain([StoreWay::Direct { fresh: true }]).collect();
+        let peers = peers.into_iter().take(MAX_RELAY_ATTEMPTS).map(StorePath::Peer);
+        if self.health.borrow().is_direct_unavailable() {
+            return peers.chain([StorePath::Direct { fresh: true }]).collect();
         }
-        let direct = [StoreWay::Direct { fresh: false }, StoreWay::Direct { fresh: true }];
+        let direct = [StorePath::Direct { fresh: false }, StorePath::Direct { fresh: true }];
         direct.into_iter().chain(peers).collect()
     }
 
     pub(super) async fn send(
         &self,
-        way: StoreWay,
+        path: StorePath,
         call: &StoreCall,
-        limit: Instant,
+        deadline: Instant,
     ) -> StoreAnswer {
         let begun = Instant::now();
-        let limit = limit.saturating_duration_since(begun);
-        let answer = match &way {
-            StoreWay::Direct { fresh } => self.send_direct(call, *fresh, limit).await,
-            StoreWay::Peer(peer) => self.send_by_peer(peer, call, limit).await,
+        let timeout = deadline.saturating_duration_since(begun);
+        let answer = match &path {
+            StorePath::Direct { fresh } => self.send_direct(call, *fresh, timeout).await,
+            StorePath::Peer(peer) => self.send_by_peer(peer, call, timeout).await,
         };
         match &answer {
-            Ok(_) if way.is_direct() => {
-                self.health.borrow_mut().direct_answered(begun, !call.hold.is_zero());
+            Ok(_) if path.is_direct() => {
+                self.health.borrow_mut().record_direct_answer(begun, !call.hold.is_zero());
             }
-            Ok(_) => self.health.borrow_mut().answered(),
-            // Its failures are judged where their cause is known.
+            Ok(_) => self.health.borrow_mut().record_answer(),
+            // `send_direct` records failures, as it knows their cause.
             Err(_) => {}
         }
-        if let StoreWay::Peer(peer) = &way {
-            self.relays.borrow_mut().note(peer, answer.is_ok());
+        if let StorePath::Peer(peer) = &path {
+            self.relays.borrow_mut().record(peer, answer.is_ok());
         }
         answer
     }
 
-    async fn send_direct(&self, call: &StoreCall, fresh: bool, limit: Duration) -> StoreAnswer {
+    async fn send_direct(&self, call: &StoreCall, fresh: bool, timeout: Duration) -> StoreAnswer {
         if fresh {
             self.pool.forget(&self.address);
         }
         let body = call.body.clone();
         let method = call.method.clone();
         let begun = Instant::now();
-        let answer = self.pool.exchange(&self.address, method, &call.target, body, limit).await;
+        let answer = self.pool.exchange(&self.address, method, &call.target, body, timeout).await;
         self.meter.call_ended(call.kind, call_outcome(&answer), begun.elapsed());
-        let got = answer.as_ref().map_or(0, |(_, body)| body.len());
-        self.meter.moved(call.kind, call.body.len(), got);
+        let received = answer.as_ref().map_or(0, |(_, body)| body.len());
+        self.meter.moved(call.kind, call.body.len(), received);
         let error = match answer {
             Ok((StatusCode::TOO_MANY_REQUESTS, _)) => {
-                self.health.borrow_mut().refused_for_rate(begun);
+                self.health.borrow_mut().record_rate_refusal(begun);
                 return Err(StoreError::Unavailable);
             }
-            // Refused, with nothing done: another instance may be served all the same.
+            // Refused without effect; the store may still serve another instance.
             Ok((StatusCode::SERVICE_UNAVAILABLE, _)) => StoreError::Unavailable,
             Ok((status, body)) => return Ok((status.as_u16(), body)),
             Err(ExchangeError::NotSent(_)) => StoreError::Unavailable,
@@ -157,16 +157,16 @@
                 StoreError::ReplyLost
             }
         };
-        self.health.borrow_mut().direct_failed(begun, &error);
+        self.health.borrow_mut().record_direct_failure(begun, &error);
         Err(error)
     }
 
-    async fn send_by_peer(&self, peer: &str, call: &StoreCall, limit: Duration) -> StoreAnswer {
+    async fn send_by_peer(&self, peer: &str, call: &StoreCall, timeout: Duration) -> StoreAnswer {
         let body = RelayRequest::new(call).encode();
-        let sent = self.pool.exchange(peer, Method::POST, RELAY_PATH, body, limit).await;
+        let sent = self.pool.exchange(peer, Method::POST, RELAY_PATH, body, timeout).await;
         match sent {
-            Ok((status, answer)) if status.is_success() => read_relay(&answer),
-            // The peer is cut off itself, and has sent nothing.
+            Ok((status, answer)) if status.is_success() => decode_reply(&answer),
+            // The peer cannot reach the store either and has sent nothing.
             Ok((StatusCode::SERVICE_UNAVAILABLE, _)) => Err(StoreError::Unavailable),
             Err(ExchangeError::NotSent(_)) => Err(StoreError::Unavailable),
             Ok(_) | Err(_) => Err(StoreError::ReplyLost),
@@ -174,7 +174,7 @@
     }
 }
 
-/// How a call ended, as the metrics name it.
+/// Value of the `outcome` label in the metrics.
 fn call_outcome(answer: &Result<(StatusCode, Bytes), ExchangeError>) -> &'static str {
     match answer {
         Ok((StatusCode::PRECONDITION_FAILED, _)) => "conflict",
--- a/src/gateway/store/relay.rs
+++ b/src/gateway/store/relay.rs
@@ -1,4 +1,4 @@
-//! Store calls that one instance makes for another that is cut off.
+//! Messages by which a peer makes store calls for an instance that cannot reach the store.
 
 use std::time::Duration;
 
@@ -11,10 +11,8 @@
 use crate::gateway::rows::{StoreCall, StoreCallKind};
 use crate::node::platform::StoreError;
 
-/// Path of the relay on the address for peers.
 pub(crate) const RELAY_PATH: &str = "/store";
 
-/// A store call that a peer makes for another instance.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct RelayRequest {
     method: Box<str>,
@@ -23,7 +21,6 @@
     hold_ms: u64,
 }
 
-/// What the store answered the peer.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct RelayReply {
     status: u16,
@@ -40,7 +37,6 @@
         }
     }
 
-    /// The call that a peer wants made.
     pub(super) fn parse(text: &[u8]) -> Result<StoreCall, RelayError> {
         let request: Self = serde_json::from_slice(text).map_err(|_| RelayError::Malformed)?;
         Ok(StoreCall {
@@ -53,7 +49,7 @@
     }
 
     pub(super) fn encode(&self) -> Bytes {
-        serde_json::to_vec(self).expect("relays serialize").into()
+        serde_json::to_vec(self).expect("relay requests serialize").into()
     }
 }
 
@@ -63,22 +59,20 @@
     }
 
     pub(super) fn encode(&self) -> Bytes {
-        serde_json::to_vec(self).expect("replies serialize").into()
+        serde_json::to_vec(self).expect("relay replies serialize").into()
     }
 }
 
-/// Why a peer's call was not relayed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RelayError {
     Malformed,
-    /// Nothing was sent: this instance does not reach the store either.
+    /// Nothing was sent, as this instance cannot reach the store either.
     CutOff,
     /// The call may have taken effect.
     NoAnswer,
 }
 
-/// What the store answered the peer.
-pub(super) fn read_relay(answer: &[u8]) -> StoreAnswer {
+pub(super) fn decode_reply(answer: &[u8]) -> StoreAnswer {
     let malformed =
         |message: &dyn ToString| StoreError::Malformed { message: message.to_string().into() };
     let reply: RelayReply = serde_json::from_slice(answer).map_err(|error| malformed(&error))?;
--- a/src/gateway/sweep.rs
+++ b/src/gateway/sweep.rs
@@ -188,7 +188,8 @@
             let transaction = RowTransaction { checks, puts: Vec::new(), removals };
             let partitions = transaction.by_partition();
             let whole = [transaction];
-            let steps = if self.store.takes_across() { &whole[..] } else { &partitions[..] };
+            let steps =
+                if self.store.supports_cross_partition() { &whole[..] } else { &partitions[..] };
             for step in steps {
                 if !matches!(self.store.commit(step).await?, CommitReply::Committed(_)) {
                     return Ok(false);
