--- a/tests/gateway_news.rs
+++ b/tests/gateway_feed.rs
@@ -1,4 +1,4 @@
-//! What instances learn while they run: routes, upstreams, each other; and how they stop.
+//! Changes of routes, upstreams and members reach running instances; planned stops.
 
 mod platform_standin;
 
@@ -12,32 +12,31 @@
 };
 use serde_json::json;
 
-/// An instance starts before the operator has written anything. It must not deny what it does not
-/// know yet: callers give up for good after a 404.
+/// Guards against a 404, after which callers give up for good, from an instance that has no routes
+/// yet.
 #[actix_rt::test]
-async fn without_routes_nothing_is_denied() {
+async fn instance_without_routes_answers_503() {
     let store = StandinStore::default();
     let address = store.start("127.0.0.1").await;
     let gateway = TestGateway::start("127.0.0.2", &address, 0, &[]);
-    let early = gateway.call(&call("book", "b1")).await;
-    assert_eq!(early.status(), 503);
-    assert!(!early.header("retry-after").is_empty());
+    let unavailable = gateway.call(&call("book", "b1")).await;
+    assert_eq!(unavailable.status(), 503);
+    assert!(!unavailable.header("retry-after").is_empty());
     assert_eq!(gateway.ready_status().await, 503);
     store.put("op", "config", &manifest(1, &default_routes()));
     gateway.ready().await;
     assert_eq!(gateway.call(&call("missing", "b2")).await.status(), 404);
 }
 
-/// A new route is in force within two seconds, a malformed configuration changes nothing, and an
-/// older version that arrives late brings nothing back.
+/// Guards against a malformed configuration or a late older version that replaces newer routes.
 #[actix_rt::test]
-async fn routes_go_forward_only() {
+async fn malformed_or_older_routes_are_ignored() {
     let deployment = Deployment::start(1, 1).await;
     let gateway = deployment.gateway();
     let mut routes = default_routes();
     routes.push(route("added", "unsafe"));
     deployment.set_routes(5, &routes);
-    wait_until("the route is there", async || {
+    wait_until("the new route is in force", async || {
         gateway.call(&call("added", "a1")).await.status() == 200
     })
     .await;
@@ -48,9 +47,9 @@
     assert_eq!(gateway.call(&call("added", "a2")).await.status(), 200);
 }
 
-/// The store forgets its history while upstreams and routes change: all must be read anew.
+/// Guards against changes that are lost when the store compacts its history.
 #[actix_rt::test]
-async fn a_forgotten_history_is_read_anew() {
+async fn compacted_history_is_read_again() {
     let deployment = Deployment::start(1, 1).await;
     let mut routes = default_routes();
     routes.push(route("added", "unsafe"));
@@ -67,57 +66,55 @@
     .await;
 }
 
-/// An upstream says that it is leaving: within two seconds it gets no new work.
+/// Guards against new work for an upstream that has been draining for two seconds.
 #[actix_rt::test]
-async fn a_draining_upstream_gets_no_new_work() {
+async fn draining_upstream_gets_no_new_work() {
     let deployment = Deployment::start(1, 2).await;
     deployment.list_engine("e0", "127.0.0.1:1", "draining");
     tokio::time::sleep(Duration::from_secs(2)).await;
     deployment.serves_without(0).await;
 }
 
-/// One of two instances reaches the store by the other only. Callers that ask are sent to the other
-/// one, which serves them without the detour, until the direct way works again. With the whole store
-/// away both are named: neither is better.
+/// Guards against callers sent to an instance that reaches the store through a peer only, and
+/// against an empty directory when the store is unavailable for all.
 #[actix_rt::test]
-async fn an_instance_behind_a_cut_sends_callers_elsewhere() {
+async fn instance_without_direct_store_access_sends_callers_to_its_peer() {
     let mut deployment = Deployment::start(1, 1).await;
     let (address, fault) = deployment.store.start_with_fault("127.0.0.1").await;
     deployment.add_gateway_at("127.0.0.9", &address, &json!({})).await;
-    let named = async |count: usize| {
-        wait_until("each instance names so many", async || {
+    let lists = async |count: usize| {
+        wait_until("both instances list the expected number of addresses", async || {
             let first = deployment.gateways[0].named().await;
             let second = deployment.gateways[1].named().await;
             first.len() == count && second.len() == count
         })
         .await;
     };
-    named(2).await;
+    lists(2).await;
     fault.set(StoreFault::Silent);
-    named(1).await;
+    lists(1).await;
     let only = deployment.gateways[0].named().await;
     assert_eq!(only, [deployment.gateways[0].settings.caller_address.to_string()]);
     fault.set(StoreFault::None);
-    named(2).await;
+    lists(2).await;
     deployment.store.set_fault(StoreFault::Busy);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    named(2).await;
+    lists(2).await;
 }
 
-/// An engine drains and starts again under its id, at another address. Callers are served by its new
-/// life; a beat of the former one that the store applies late changes nothing.
+/// Guards against a late heartbeat of a former incarnation that replaces the current one.
 #[actix_rt::test]
-async fn an_engine_starts_again_under_its_id() {
+async fn restarted_engine_is_used_at_its_new_address() {
     let deployment = Deployment::start(1, 0).await;
     let (first, second) = (StandinEngine::default(), StandinEngine::default());
     let addresses = [first.start("127.0.0.1").await, second.start("127.0.0.1").await];
     deployment.list_incarnation("e", &addresses[0], "ready", 1_000);
     let book = async |id: &str| deployment.gateway().call(&call("book", id)).await.status();
-    wait_until("it serves", async || book("b1").await == 200).await;
+    wait_until("the engine serves", async || book("b1").await == 200).await;
     deployment.list_incarnation("e", &addresses[0], "draining", 1_000);
-    wait_until("it drains", async || book("b2").await == 503).await;
+    wait_until("the engine drains", async || book("b2").await == 503).await;
     deployment.list_incarnation("e", &addresses[1], "ready", 2_000);
-    wait_until("its new life serves", async || book("b3").await == 200).await;
+    wait_until("the new incarnation serves", async || book("b3").await == 200).await;
     deployment.list_incarnation("e", &addresses[0], "ready", 1_000);
     tokio::time::sleep(Duration::from_secs(1)).await;
     let before = first.seen();
@@ -125,10 +122,9 @@
     assert_eq!(first.seen(), before);
 }
 
-/// Another writer puts rows into the list of engines that name none, one of them in the place of a
-/// good entry. The others go on serving, also after the list was read anew.
+/// Guards against malformed entries in the list of engines that affect the valid ones.
 #[actix_rt::test]
-async fn entries_of_another_writer_name_nobody() {
+async fn malformed_engine_entries_are_ignored() {
     let deployment = Deployment::start(1, 2).await;
     deployment.store.put_raw("servers", "bytes", b"\xff\xfe");
     deployment.store.put("servers", "fields", &json!({ "service": "llm", "state": "ready" }));
@@ -146,10 +142,9 @@
     assert_eq!(deployment.engines[0].seen(), before);
 }
 
-/// The engines' entries lapse while the store is away, and return after it. Dropping them on the
-/// first news would refuse all work for two seconds.
+/// Guards against dropping engines whose entries expired only because the store was unavailable.
 #[actix_rt::test]
-async fn entries_that_lapse_in_an_outage_stay_in_use() {
+async fn entries_that_expire_during_an_outage_stay_in_use() {
     let deployment = Deployment::start(1, 1).await;
     deployment.store.set_fault(StoreFault::Busy);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
@@ -157,17 +152,16 @@
     deployment.store.set_fault(StoreFault::None);
     tokio::time::sleep(Duration::from_millis(1_200)).await;
     assert_eq!(deployment.gateway().call(&call("book", "b1")).await.status(), 200);
-    wait_until("an entry that stays away is dropped", async || {
+    wait_until("an entry that does not return is dropped", async || {
         deployment.gateway().call(&call("book", "b2")).await.status() == 503
     })
     .await;
 }
 
-/// An instance has no way to the store for a while. After that an engine leaves without a word, as
-/// some do: its entry is just removed. The doubt counts from the store's return, not from the next
-/// news, else the engine gets new work for longer than two seconds at a moment that is long calm.
+/// Guards against new work for an engine that is removed after an outage: the grace period counts
+/// from the store's recovery, not from the next change.
 #[actix_rt::test]
-async fn an_entry_removed_after_an_outage_is_soon_believed() {
+async fn entry_removed_after_an_outage_is_dropped_in_time() {
     let deployment = Deployment::start(1, 1).await;
     deployment.store.set_fault(StoreFault::Busy);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
@@ -179,43 +173,49 @@
 }
 
 #[actix_rt::test]
-async fn instances_name_each_other() {
+async fn directory_lists_live_instances() {
     let mut deployment = Deployment::start(3, 1).await;
     for gateway in &deployment.gateways {
-        wait_until("all are named", async || gateway.named().await.len() == 3).await;
+        wait_until("all instances are listed", async || gateway.named().await.len() == 3).await;
     }
     deployment.gateways[2].kill().await;
     let first = deployment.gateway();
-    wait_until("the killed one is not", async || first.named().await.len() == 2).await;
+    wait_until("the killed instance is no longer listed", async || first.named().await.len() == 2)
+        .await;
 }
 
-/// An instance is stopped while a turn streams. The turn must end whole, others must no longer
-/// name the instance, and a caller that still connects is served meanwhile.
+/// Guards against a planned stop that truncates a stream, refuses a late caller or leaves the
+/// instance in the directory.
 #[actix_rt::test]
-async fn a_planned_stop_cuts_nothing_off() {
+async fn planned_stop_completes_running_streams() {
     let mut deployment = Deployment::start(2, 1).await;
-    wait_until("both are named", async || deployment.gateways[0].named().await.len() == 2).await;
+    wait_until("both instances are listed", async || {
+        deployment.gateways[0].named().await.len() == 2
+    })
+    .await;
     deployment.engines[0].act(EngineAct::Paced(Duration::from_millis(300)));
     let mut wire = deployment.gateways[1].connect().await;
     wire.send(turn("t1", "p", None, "x").as_bytes()).await;
     wire.wait_for("w1").await;
     deployment.gateways[1].begin_stop();
-    wait_until("it says that it is not ready", async || {
+    wait_until("the instance is not ready", async || {
         deployment.gateways[1].ready_status().await == 503
     })
     .await;
     let late = deployment.gateways[1].call(&call("book", "b1")).await;
     assert_eq!((late.status(), late.header("connection")), (200, "close"));
-    wait_until("it is named no more", async || deployment.gateways[0].named().await.len() == 1)
-        .await;
+    wait_until("the instance is no longer listed", async || {
+        deployment.gateways[0].named().await.len() == 1
+    })
+    .await;
     let streamed = wire.read_message(true).await.expect("the answer");
     assert_eq!((streamed.status(), streamed.whole), (200, true));
-    assert!(deployment.gateways[1].join().await, "nothing was cut off");
+    assert!(deployment.gateways[1].join().await, "no stream was truncated");
 }
 
-/// An operator misspells a mechanism to do without: the settings are refused, and the error names it.
+/// Guards against a misspelled mechanism in the settings that is ignored.
 #[test]
-fn an_unknown_mechanism_is_refused_by_name() {
+fn unknown_mechanism_is_rejected_by_name() {
     let text = |without: &str| {
         format!(
             r#"{{"instance": "a", "zone": "z", "region": "r", "caller_address": "127.0.0.1:0",
