--- a/tests/gateway_store.rs
+++ b/tests/gateway_store.rs
@@ -1,4 +1,4 @@
-//! What callers see while the store is away, cut off, slow or at its rate.
+//! What callers see while the store is unavailable, cut off, slow or over its rate.
 
 mod platform_standin;
 
@@ -8,18 +8,20 @@
 use platform_standin::{Deployment, turn, wait_until};
 use serde_json::json;
 
-/// The store does not answer at all. Nothing can be made durable, so the turn is refused before it
-/// reaches an engine, with a time to come back; when the store returns it is served.
+/// Guards against turns that run while nothing can be stored, and against refusals without a
+/// `Retry-After`.
 #[rstest::rstest]
 #[case::busy(StoreFault::Busy)]
 #[case::silent(StoreFault::Silent)]
 #[actix_rt::test]
-async fn turns_are_refused_unrun_while_the_store_is_away(#[case] fault: StoreFault) {
+async fn turns_are_refused_without_running_while_the_store_is_unavailable(
+    #[case] fault: StoreFault,
+) {
     let deployment = Deployment::start(1, 1).await;
     deployment.store.set_fault(fault);
     let refused = deployment.gateway().call(&turn("t1", "p", None, "x")).await;
     assert_eq!(refused.status(), 503);
-    let wait: f64 = refused.header("retry-after").parse().expect("a time to come back");
+    let wait: f64 = refused.header("retry-after").parse().expect("a Retry-After in seconds");
     assert!(wait > 0.0);
     assert!(deployment.runs().is_empty());
     deployment.store.set_fault(StoreFault::None);
@@ -29,11 +31,10 @@
     .await;
 }
 
-/// The store has been away for a second when a turn comes, and returns a second later. The turn waits
-/// and is then served, once; one that comes to a store that stays away is refused while its caller still
-/// has time for another attempt.
+/// Guards against a turn that is refused, or run twice, over a short outage, and against one that
+/// is refused too late for its caller to retry.
 #[actix_rt::test]
-async fn a_turn_waits_for_the_store_while_its_caller_has_patience() {
+async fn turn_waits_for_the_store_within_its_deadline() {
     let deployment = Deployment::start(1, 1).await;
     deployment.store.set_fault(StoreFault::Busy);
     assert_eq!(deployment.gateway().call(&turn("t0", "p", None, "x")).await.status(), 503);
@@ -46,55 +47,52 @@
     deployment.store.set_fault(StoreFault::Busy);
     let begun = tokio::time::Instant::now();
     assert_eq!(deployment.gateway().call(&turn("t2", "p", None, "x")).await.status(), 503);
-    assert!(begun.elapsed() < Duration::from_millis(2_500), "of the five seconds it has");
+    assert!(begun.elapsed() < Duration::from_millis(2_500), "refused too late for a retry");
 }
 
-/// The store turns one instance away and serves the other: its calls go by the peer.
+/// Guards against failures of an instance that only a peer can connect to the store.
 #[actix_rt::test]
-async fn a_peer_relays_store_calls() {
+async fn unreachable_store_is_called_through_a_peer() {
     let mut deployment = Deployment::start(1, 1).await;
-    // An address at which nothing listens takes the store's place for this instance.
+    // Nothing listens at the address that this instance has for the store.
     let unused = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let nobody = unused.local_addr().expect("it is bound").to_string();
+    let unreachable = unused.local_addr().expect("it is bound").to_string();
     drop(unused);
-    deployment.add_gateway_at("127.0.0.9", &nobody, &json!({})).await;
+    deployment.add_gateway_at("127.0.0.9", &unreachable, &json!({})).await;
     let first = deployment.gateways[1].call(&turn("t1", "p", None, "one ")).await;
     assert_eq!((first.status(), first.whole), (200, true));
     let next = deployment.gateways[0].call(&turn("t2", "p", Some("t1"), "two ")).await;
     assert_eq!(next.status(), 200);
 }
 
-/// The store falls silent for one instance and serves the other. Callers of the first see one stall;
-/// after that each turn goes by the peer at once, and nobody's call is spent on looking whether the
-/// direct way works again.
+/// Guards against turns that each wait for the silent direct path, or are spent on probing it,
+/// while a peer relays.
 #[actix_rt::test]
-async fn an_instance_behind_a_cut_stalls_once() {
+async fn instance_without_direct_store_access_stalls_once() {
     let mut deployment = Deployment::start(1, 1).await;
     let (address, fault) = deployment.store.start_with_fault("127.0.0.1").await;
     deployment.add_gateway_at("127.0.0.9", &address, &json!({})).await;
-    let behind = &deployment.gateways[1];
-    assert_eq!(behind.call(&turn("t0", "p", None, "x")).await.status(), 200);
+    let cut_off = &deployment.gateways[1];
+    assert_eq!(cut_off.call(&turn("t0", "p", None, "x")).await.status(), 200);
     fault.set(StoreFault::Silent);
-    let mut slow = 0;
+    let mut stalled = 0;
     for number in 0..30 {
         let begun = tokio::time::Instant::now();
-        let answer = behind.call(&turn(&format!("u{number}"), "q", None, "x")).await;
+        let answer = cut_off.call(&turn(&format!("u{number}"), "q", None, "x")).await;
         assert_eq!((answer.status(), answer.whole), (200, true));
-        slow += u32::from(begun.elapsed() > Duration::from_millis(300));
+        stalled += u32::from(begun.elapsed() > Duration::from_millis(300));
         tokio::time::sleep(Duration::from_millis(60)).await;
     }
-    assert!(slow <= 2, "{slow} of 30 turns stalled");
+    assert!(stalled <= 2, "{stalled} of 30 turns stalled");
     fault.set(StoreFault::None);
     tokio::time::sleep(Duration::from_millis(1_200)).await;
-    assert_eq!(behind.call(&turn("v", "r", None, "x")).await.status(), 200);
+    assert_eq!(cut_off.call(&turn("v", "r", None, "x")).await.status(), 200);
 }
 
-/// The store takes 20 writes a second, and 40 turns of as many programs come in 0.2 s to two instances.
-/// What is refused for its rate waits and then travels together: all turns are answered, and refusals
-/// stay fewer than turns. Sent again at once by every way, refused writes multiply, and the store is
-/// kept busy refusing.
+/// Guards against writes over the store's rate that are retried at once over every path and so keep
+/// the store busy with refusals.
 #[actix_rt::test]
-async fn writes_over_the_stores_rate_wait_for_a_later_batch() {
+async fn writes_over_the_rate_limit_wait_for_a_later_batch() {
     let deployment = Deployment::start(2, 1).await;
     deployment.store.set_fault(StoreFault::WriteRate(2));
     let calls = (0..40).map(|number| {
@@ -106,17 +104,16 @@
         }
     });
     let answers = futures_util::future::join_all(calls).await;
-    let whole = answers.iter().filter(|answer| answer.status() == 200 && answer.whole).count();
+    let complete = answers.iter().filter(|answer| answer.status() == 200 && answer.whole).count();
     let refused = deployment.store.refused_writes();
-    assert_eq!(whole, 40);
+    assert_eq!(complete, 40);
     assert!(refused < 40, "{refused} writes were refused");
 }
 
-/// Turns begin and end all the while. As long as the store is quick, reservations travel with records
-/// that wait, which saves calls. When it has turned slow, a transaction over several parts takes twice
-/// as long as one over a single part, and a caller waits for the reservation: it must travel alone.
+/// Guards against reservations, for which callers wait, in transactions across partitions while the
+/// store is slow. While it is fast, they are batched to save calls.
 #[actix_rt::test]
-async fn reservations_travel_alone_while_the_store_is_slow() {
+async fn reservations_are_not_batched_while_the_store_is_slow() {
     const TURNS: usize = 30;
     let deployment = Deployment::start(1, 1).await;
     let run = async |round: &str| {
@@ -132,29 +129,29 @@
         let answers = futures_util::future::join_all(calls).await;
         assert!(answers.iter().all(|answer| (answer.status(), answer.whole) == (200, true)));
     };
-    let mixed = |transactions: &[Vec<String>]| {
+    let shared = |transactions: &[Vec<String>]| {
         let has = |puts: &[String], prefix: &str| puts.iter().any(|key| key.starts_with(prefix));
         transactions.iter().filter(|puts| has(puts, "ledger") && has(puts, "t/")).count()
     };
     run("quick").await;
     let quick = deployment.store.transactions();
-    assert!(mixed(&quick) > 0, "they travel together");
+    assert!(shared(&quick) > 0, "reservations and records share transactions");
     deployment.store.set_fault(StoreFault::Slow(Duration::from_millis(120)));
-    // The usual answer time follows.
+    // Time for the mean latency to follow.
     run("turning").await;
     let before = deployment.store.transactions().len();
     run("slow").await;
-    assert_eq!(mixed(&deployment.store.transactions()[before..]), 0);
+    assert_eq!(shared(&deployment.store.transactions()[before..]), 0);
 }
 
-/// A part of the store has more than a second of writes waiting and refuses one, by every way. The
-/// store is not away: the turn waits a little and runs, and turns of other programs notice nothing.
+/// Guards against an overloaded partition that is taken for an outage of the store and delays other
+/// programs.
 #[actix_rt::test]
-async fn a_part_over_its_rate_is_no_outage() {
+async fn overloaded_partition_is_not_an_outage() {
     let deployment = Deployment::start(1, 1).await;
     let gateway = deployment.gateway();
     assert_eq!(gateway.call(&turn("t1", "p", None, "x")).await.status(), 200);
-    // Two direct ways: kept and new connection.
+    // Two direct paths: pooled and new connection.
     deployment.store.set_fault(StoreFault::OverRate(2));
     let refused = turn("t2", "p", Some("t1"), "x");
     let (first, second) = futures_util::join!(gateway.call(&refused), async {
@@ -166,18 +163,17 @@
     assert_eq!((second.status(), second.whole), (200, true));
 }
 
-/// The store has turned slow: each answer takes 0.7 s, for seconds. Once that is known, a turn is
-/// reserved and kept by one call each. Sent again by another way before the answer can come, each call
-/// slows the store further, and callers leave before they hear a word.
+/// Guards against hedged calls that slow a slow store further: reserving and storing a turn takes
+/// one call each.
 #[actix_rt::test]
-async fn a_slow_store_gets_each_call_once() {
+async fn slow_store_receives_each_call_once() {
     let deployment = Deployment::start(1, 1).await;
     let run = async |program: &str| {
         let answer = deployment.gateway().call(&turn(program, program, None, "x")).await;
         assert_eq!((answer.status(), answer.whole), (200, true));
     };
     deployment.store.set_fault(StoreFault::Slow(Duration::from_millis(700)));
-    // The usual answer time follows.
+    // Time for the mean latency to follow.
     for program in ["a", "b", "c"] {
         run(program).await;
     }
--- a/tests/outage.rs
+++ b/tests/outage.rs
@@ -1,4 +1,4 @@
-//! The platform's table is down for minutes while callers go on.
+//! An outage of the platform's table for minutes under load.
 
 mod support;
 
@@ -34,37 +34,35 @@
         CallOutcome::NotRun(refusal) if refusal.reason == RefusalReason::StoreUnavailable => {
             refusal
         }
-        other => panic!("store unavailable was expected, not {other:?}"),
+        other => panic!("expected a refusal as the store is unavailable, got {other:?}"),
     }
 }
 
-/// Calls are under way when the table goes down for five minutes. Their tokens stream on, but
-/// none is called final; after the hold each caller hears that its outcome is unknown as yet.
-/// When the table is back the same requests give the answers that were held, without another
-/// engine call; where the owner died meanwhile, they run again. Nothing final is ever taken back.
+/// Guards against answers reported as final before they are durable, and against held answers that
+/// are lost, or computed again although their owner is alive.
 #[rstest]
 #[case::owners_live(false)]
 #[case::an_owner_dies(true)]
 fn held_answers_are_kept_through_an_outage(#[case] kill: bool) {
     run_paused(async move {
         let (cluster, recorders) = start().await;
-        let owner = cluster.owner_of(recorders[0].program).expect("somebody owns it");
+        let owner = cluster.owner_of(recorders[0].program).expect("the program has an owner");
         cluster.platform.faults.set(outage());
         let began = Instant::now();
         let mut calls = Vec::new();
         for recorder in &recorders {
-            let index = cluster.owner_of(recorder.program).expect("somebody owns it");
+            let index = cluster.owner_of(recorder.program).expect("the program has an owner");
             let request = model_call(recorder.program, 2, "two");
-            calls.push(cluster.node(index).submit(request).await.expect("it is taken"));
+            calls.push(cluster.node(index).submit(request).await.expect("the call is accepted"));
         }
         for call in calls {
-            let told = call.wait().await;
-            let CallOutcome::Unknown(told) = told else { panic!("{told:?}") };
-            assert!(told.retryable && !call.text().is_empty());
+            let outcome = call.wait().await;
+            let CallOutcome::Unknown(unknown) = outcome else { panic!("{outcome:?}") };
+            assert!(unknown.retryable && !call.text().is_empty());
         }
         let hold = Duration::from_secs(11);
         assert!(began.elapsed() < hold, "callers waited {:?}", began.elapsed());
-        let ran = engine_calls(&cluster);
+        let calls_before = engine_calls(&cluster);
         if kill {
             cluster.kill(owner);
         }
@@ -75,24 +73,23 @@
             recorder.insist(&cluster, model_call(recorder.program, 3, "three")).await;
             recorder.check(&cluster).await;
         }
-        let repeated = engine_calls(&cluster) - ran - recorders.len() as u64;
+        let repeated = engine_calls(&cluster) - calls_before - recorders.len() as u64;
         assert_eq!(repeated > 0, kill, "{repeated} calls ran again");
     });
 }
 
-/// The table has been down for longer than the bound. New calls, starts and ends are refused at
-/// once as not run, with a time to return, and nothing is sent or spent for them; what is durable
-/// is still answered. After the outage they run.
+/// Guards against new work that waits, or is sent to engines and services, during an outage.
+/// Durable answers stay available.
 #[test]
 fn new_work_is_refused_at_once_during_an_outage() {
     run_paused(async {
         let (cluster, recorders) = start().await;
         cluster.platform.faults.set(outage());
         sleep(Duration::from_secs(5)).await;
-        let (ran, began) = (engine_calls(&cluster), Instant::now());
+        let (calls_before, began) = (engine_calls(&cluster), Instant::now());
         for recorder in &recorders {
             let program = recorder.program;
-            let node = cluster.node(cluster.owner_of(program).expect("somebody owns it"));
+            let node = cluster.node(cluster.owner_of(program).expect("the program has an owner"));
             let again = outcome(node.submit(model_call(program, 1, "one")).await).await;
             assert!(matches!(again, CallOutcome::Answered(_)), "{again:?}");
             for request in [model_call(program, 2, "two"), booking(program, 2, "milk")] {
@@ -104,7 +101,7 @@
             assert_eq!(refusal.reason, RefusalReason::StoreUnavailable);
         }
         assert_eq!(began.elapsed(), Duration::ZERO, "refusals took time");
-        assert_eq!(engine_calls(&cluster), ran);
+        assert_eq!(engine_calls(&cluster), calls_before);
         assert!(cluster.service.executions().is_empty());
         cluster.platform.faults.set(FaultSettings::default());
         for recorder in &recorders {
@@ -114,22 +111,25 @@
     });
 }
 
-/// A booking comes right after the table went down: its intent cannot be written, so nothing is
-/// sent. Its caller hears in time that it is unknown as yet; the same request joins it, and it
-/// runs once when the table is back.
+/// Guards against a service call that is sent before its intent is durable, or sent twice after the
+/// outage.
 #[test]
-fn a_booking_waits_for_the_table_and_runs_once() {
+fn booking_waits_for_the_table_and_runs_once() {
     run_paused(async {
         let (cluster, recorders) = start().await;
         let recorder = &recorders[0];
-        let owner = cluster.owner_of(recorder.program).expect("somebody owns it");
+        let owner = cluster.owner_of(recorder.program).expect("the program has an owner");
         cluster.platform.faults.set(outage());
         let request = booking(recorder.program, 2, "milk");
-        let call = cluster.node(owner).submit(request.clone()).await.expect("it is taken");
-        let told = call.wait().await;
-        assert!(matches!(&told, CallOutcome::Unknown(call) if call.retryable), "{told:?}");
+        let call = cluster.node(owner).submit(request.clone()).await.expect("the call is accepted");
+        let outcome = call.wait().await;
+        assert!(matches!(&outcome, CallOutcome::Unknown(call) if call.retryable), "{outcome:?}");
         let joined = recorder.attempt(&cluster, owner, &request).await;
-        assert_eq!(joined, AttemptResult::Lost, "it is held again, longer than this caller waits");
+        assert_eq!(
+            joined,
+            AttemptResult::Lost,
+            "the request is held beyond the timeout of this attempt"
+        );
         assert!(cluster.service.executions().is_empty());
         cluster.platform.faults.set(FaultSettings::default());
         recorder.insist(&cluster, request).await;
