--- a/src/gateway/feed/follow.rs
+++ b/src/gateway/feed/follow.rs
@@ -13,7 +13,6 @@
 /// How long the store may hold a request for new routes. A silent connection is detected only after
 /// this time, and a new route must be in force within 2 s.
 const ROUTES_HOLD_TIMEOUT: Duration = Duration::from_millis(900);
-/// Limits the rate at which a burst of versions is read.
 const MIN_ROUTES_INTERVAL: Duration = Duration::from_millis(250);
 /// Upstreams are polled: each of them writes about every second, so a held request would return at
 /// once. A draining upstream must get no new work within 2 s.
@@ -54,8 +53,7 @@
             let after = self.route_log.borrow().head();
             match self.store.changes(table, after, ROUTES_HOLD_TIMEOUT).await {
                 Ok(ChangesReply::Changes { rows, version }) => {
-                    // A reply without changes was held for the full time and is as recent as its
-                    // end.
+                    // A reply without changes was held, and is current as of its end.
                     let held = if rows.is_empty() { ROUTES_HOLD_TIMEOUT } else { Duration::ZERO };
                     self.update_routes(
                         rows,
--- a/src/gateway/feed/messages.rs
+++ b/src/gateway/feed/messages.rs
@@ -18,7 +18,6 @@
     /// Requests the next page of all upstreams, after `upstreams_after`.
     #[serde(default)]
     pub(super) continues: bool,
-    /// How long the reader may hold the request while nothing has changed.
     pub(super) hold_ms: u64,
 }
 
@@ -47,7 +46,6 @@
 struct ReplyHead {
     routes: TableHead,
     upstreams: TableHead,
-    /// Time since the reader saw the store recover, if recent.
     returned_ms: Option<u64>,
     held_ms: u64,
     #[serde(default)]
--- a/src/gateway/feed/mod.rs
+++ b/src/gateway/feed/mod.rs
@@ -56,7 +56,6 @@
     changed: Notify,
     /// While set, a reader provides the feed and this instance does not read the store.
     following: Cell<bool>,
-    /// Number of instances between the store and this one.
     hops: Cell<u32>,
     /// `None` if readers are disabled.
     readers: Option<Rc<dyn FeedReaders>>,
--- a/src/gateway/feed/reader.rs
+++ b/src/gateway/feed/reader.rs
@@ -55,7 +55,7 @@
     #[display("{_0}")]
     Malformed(crate::util::framed::FrameError),
     #[display("its data is {} ms old", _0.as_millis())]
-    Old(Duration),
+    Outdated(Duration),
 }
 
 impl ChangeFeed {
@@ -152,7 +152,7 @@
             WatchReply::decode(&text, routes, upstreams).map_err(ReaderFailure::Malformed)?;
         let age = reply.routes.age.max(reply.upstreams.age);
         if age > max_age_after(reply.hops) {
-            return Err(ReaderFailure::Old(age));
+            return Err(ReaderFailure::Outdated(age));
         }
         Ok(reply)
     }
--- a/src/gateway/rows.rs
+++ b/src/gateway/rows.rs
@@ -140,7 +140,6 @@
     Relayed,
 }
 
-/// An HTTP request to the store, encoded by the dialect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreCall {
     pub kind: StoreCallKind,
--- a/src/gateway/store/health.rs
+++ b/src/gateway/store/health.rs
@@ -13,7 +13,6 @@
 const MAX_CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// The timeout as a multiple of the mean latency.
 const TIMEOUT_FACTOR: f64 = 8.0;
-/// Mean latency above which the store counts as slow.
 const SLOW_LATENCY: Duration = Duration::from_millis(80);
 /// Bounds of the delay before a call is also sent over another path. All writes are conditional, so
 /// a duplicate changes nothing. The upper bound exceeds the latency of a slow store, which
@@ -38,7 +37,6 @@
     direct_answered_at: Option<Instant>,
     /// Time of the last answer over any path.
     answered_at: Option<Instant>,
-    /// Time of the last refusal with 429.
     over_rate_at: Option<Instant>,
 }
 
@@ -56,7 +54,6 @@
 }
 
 impl StoreHealth {
-    /// Timeout of a call, beyond the time for which the store holds it on purpose.
     pub(super) fn timeout(&self) -> Duration {
         self.latency.scaled(TIMEOUT_FACTOR, MIN_CALL_TIMEOUT, MAX_CALL_TIMEOUT)
     }
--- a/src/gateway/store/mod.rs
+++ b/src/gateway/store/mod.rs
@@ -91,15 +91,15 @@
 
     /// Waits until the store is available.
     pub(crate) async fn reachable(&self) {
-        self.wait_for_outage(false).await;
+        self.wait_until_outage_is(false).await;
     }
 
     /// Waits until no path to the store works.
     pub(crate) async fn unreachable(&self) {
-        self.wait_for_outage(true).await;
+        self.wait_until_outage_is(true).await;
     }
 
-    async fn wait_for_outage(&self, outage: bool) {
+    async fn wait_until_outage_is(&self, outage: bool) {
         loop {
             let changed = self.changed.notified();
             if self.outage().is_some() == outage {
@@ -145,7 +145,6 @@
         self.health.borrow().is_slow()
     }
 
-    /// Returns true if the store refuses some calls with 429 and answers others.
     pub(crate) fn is_over_rate(&self) -> bool {
         self.health.borrow().is_over_rate()
     }
@@ -172,6 +171,7 @@
         let begun = Instant::now();
         let result = self.call_hedged(call).await;
         if matches!(result, Err(StoreError::Unavailable | StoreError::ReplyLost)) {
+            // Calls fail at once from now on, until a probe succeeds.
             if self.health.borrow_mut().record_failure(begun) {
                 self.changed.notify_waiters();
             }
@@ -224,7 +224,6 @@
         }
     }
 
-    /// Makes a store call on behalf of a peer.
     pub(crate) async fn serve_relay(&self, request: &[u8]) -> Result<Bytes, RelayError> {
         let call = RelayRequest::parse(request)?;
         if self.health.borrow().is_direct_unavailable() {
--- a/src/gateway/store/relay_order.rs
+++ b/src/gateway/store/relay_order.rs
@@ -4,8 +4,8 @@
 
 use crate::gateway::latency::FailedPeers;
 
-/// How long a peer that failed to relay sorts last. Network partitions last longer, but a peer's
-/// own probe detects their end sooner.
+/// How long a peer that failed to relay sorts last: short against a network partition, long against
+/// the interval at which the peer itself probes the store.
 const FAILED_PEER_MAX_AGE: Duration = Duration::from_secs(1);
 
 #[derive(Debug)]
