--- a/src/gateway/feed/messages.rs
+++ b/src/gateway/feed/messages.rs
@@ -24,6 +24,7 @@
 /// A changed row, whose value follows the head of the message.
 #[derive(Debug, Serialize, Deserialize)]
 struct RowHead {
+    /// Name of the partition.
     part: Box<str>,
     key: Box<str>,
     version: RowVersion,
--- a/src/gateway/feed/reader.rs
+++ b/src/gateway/feed/reader.rs
@@ -108,8 +108,8 @@
 
     /// Requests changes from a reader, page by page, and applies them together.
     async fn watch(&self, reader: &str) -> Result<(), ReaderFailure> {
-        let relays = self.readers.as_ref().is_some_and(|readers| readers.reads_feed());
-        let hold = if relays { READER_HOLD_TIMEOUT } else { HOLD_TIMEOUT };
+        let is_reader = self.readers.as_ref().is_some_and(|readers| readers.reads_feed());
+        let hold = if is_reader { READER_HOLD_TIMEOUT } else { HOLD_TIMEOUT };
         let mut request = WatchRequest {
             routes_after: self.route_log.borrow().head(),
             upstreams_after: self.upstream_log.borrow().head(),
