--- a/src/gateway/attempt/guard.rs
+++ b/src/gateway/attempt/guard.rs
@@ -27,7 +27,7 @@
 
 impl AttemptGuard {
     pub(super) fn new(gateway: &Rc<Gateway>, call: &CallContext, choice: &UpstreamChoice) -> Self {
-        let mut upstreams = gateway.news.upstreams.borrow_mut();
+        let mut upstreams = gateway.feed.upstreams.borrow_mut();
         let started_at = Instant::now();
         upstreams.started(&choice.id, choice.prefill_ms, started_at);
         if !gateway.settings.uses(GatewayMechanism::SilenceAvoidance) {
@@ -46,7 +46,7 @@
     }
 
     pub(crate) fn record_first_byte(&self) {
-        self.gateway.news.upstreams.borrow_mut().record_first_byte(&self.upstream, self.started_at);
+        self.gateway.feed.upstreams.borrow_mut().record_first_byte(&self.upstream, self.started_at);
         if let Some(waited) = self.take_queue_wait() {
             let mut gate = self.gateway.gate.borrow_mut();
             gate.record_wait(&self.service, waited, self.objective, Instant::now());
@@ -76,7 +76,7 @@
             let mut gate = self.gateway.gate.borrow_mut();
             gate.record_abandoned(&self.service, waited, Instant::now());
         }
-        let mut upstreams = self.gateway.news.upstreams.borrow_mut();
+        let mut upstreams = self.gateway.feed.upstreams.borrow_mut();
         upstreams.ended(&self.upstream, self.started_at, self.result.get(), Instant::now());
     }
 }
--- a/src/gateway/attempt/mod.rs
+++ b/src/gateway/attempt/mod.rs
@@ -110,7 +110,7 @@
         if !call.route.is_idempotent() || Instant::now() >= call.deadline {
             return RerunTarget::Forbidden;
         }
-        let upstreams = self.news.upstreams.borrow();
+        let upstreams = self.feed.upstreams.borrow();
         let incarnations = progress.incarnations.borrow();
         let running = incarnations
             .iter()
@@ -223,7 +223,7 @@
             salt: rand::random(),
             now: Instant::now(),
         };
-        self.news.upstreams.borrow().choose(&request)
+        self.feed.upstreams.borrow().choose(&request)
     }
 
     async fn attempt_upstream(
--- a/src/gateway/call/access.rs
+++ b/src/gateway/call/access.rs
@@ -44,7 +44,7 @@
         request: &CallerRequest,
         key: Option<&ApiKey>,
     ) -> Result<CallGrant, Refusal> {
-        let Some(table) = self.news.routes() else {
+        let Some(table) = self.feed.routes() else {
             return Err(Refusal::not_run("no_routes_yet", NO_ROUTES_RETRY_DELAY));
         };
         if !self.has_current_keys(&table).await {
@@ -53,8 +53,8 @@
         if let Ok(grant) = find_grant(&table, request, key) {
             return Ok(grant);
         }
-        let is_current = self.news.refresh_routes().await;
-        let table = self.news.routes().unwrap_or(table);
+        let is_current = self.feed.refresh_routes().await;
+        let table = self.feed.routes().unwrap_or(table);
         find_grant(&table, request, key).map_err(|denial| match is_current {
             true => denial.refusal(),
             false => Refusal::not_run("routes_uncertain", NO_ROUTES_RETRY_DELAY),
@@ -66,8 +66,8 @@
     async fn has_current_keys(&self, table: &RouteTable) -> bool {
         let Some(max_age) = self.settings.strict_key_age() else { return true };
         table.workspaces().is_none()
-            || self.news.routes_age() <= max_age
-            || self.news.refresh_routes().await
+            || self.feed.routes_age() <= max_age
+            || self.feed.refresh_routes().await
     }
 }
 
--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -207,7 +207,7 @@
         let (upstream, status) = (choice.id.clone(), head.status);
         guard.record(AttemptResult::Answered);
         // An upstream that restarted has lost its cache.
-        if self.news.upstreams.borrow().has_incarnation(&upstream, choice.started_at) {
+        if self.feed.upstreams.borrow().has_incarnation(&upstream, choice.started_at) {
             self.record_resident_blocks(call, &upstream);
             self.record_event_latency(&upstream, first_byte_at, events.events() - earlier_events);
         }
@@ -253,14 +253,14 @@
         let first_byte_at = first_byte_at.filter(|_| enabled && events >= MIN_LATENCY_EVENTS);
         let Some(first_byte_at) = first_byte_at else { return };
         let millis = first_byte_at.elapsed().as_secs_f64() * 1e3 / (events - 1) as f64;
-        self.news.upstreams.borrow_mut().observe_latency(upstream, millis, Instant::now());
+        self.feed.upstreams.borrow_mut().observe_latency(upstream, millis, Instant::now());
     }
 
     fn record_resident_blocks(&self, call: &CallContext, upstream: &UpstreamId) {
         if !self.settings.uses(GatewayMechanism::PromptPlacement) {
             return;
         }
-        let mut upstreams = self.news.upstreams.borrow_mut();
+        let mut upstreams = self.feed.upstreams.borrow_mut();
         for block in &call.head.parts {
             upstreams.record_resident(upstream, &block.id);
         }
--- a/src/gateway/committer.rs
+++ b/src/gateway/committer.rs
@@ -71,8 +71,8 @@
         transaction: RowTransaction,
         max_delay: Duration,
     ) -> CommitResult {
-        if !self.store.takes_across() {
-            return self.commit_by_part(&transaction).await;
+        if !self.store.supports_cross_partition() {
+            return self.commit_by_partition(&transaction).await;
         }
         let (reply, receiver) = oneshot::channel();
         let due = Instant::now() + max_delay;
@@ -88,13 +88,13 @@
         receiver.await.unwrap_or(Err(StoreError::ReplyLost))
     }
 
-    /// For stores without transactions over several parts. Parts without checks are written first:
-    /// nothing refers to them until the checked part is committed.
-    async fn commit_by_part(&self, transaction: &RowTransaction) -> CommitResult {
+    /// For stores without transactions over several partitions. Partitions without checks are written first:
+    /// nothing refers to them until the checked partition is committed.
+    async fn commit_by_partition(&self, transaction: &RowTransaction) -> CommitResult {
         let mut reply = Err(StoreError::Unavailable);
-        for part in transaction.by_part() {
+        for partition in transaction.by_partition() {
             self.batches.set(self.batches.get() + 1);
-            reply = self.store.commit(&part).await;
+            reply = self.store.commit(&partition).await;
             if !matches!(reply, Ok(CommitReply::Committed(_))) {
                 return reply;
             }
@@ -127,7 +127,7 @@
         let mut queue = self.queue.borrow_mut();
         let mut keys: BTreeSet<RowKey> = BTreeSet::new();
         let (mut rows, mut bytes) = (0, 0);
-        // Transactions over several parts take longer, and callers wait for the urgent ones.
+        // Transactions over several partitions take longer, and callers wait for the urgent ones.
         let urgent_only = self.store.is_slow() && queue.iter().any(|queued| queued.is_urgent);
         let mut batch = Vec::new();
         let mut remaining = Vec::new();
--- a/src/gateway/sweep.rs
+++ b/src/gateway/sweep.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
 
-use super::news::StoreNews;
+use super::feed::ChangeFeed;
 use super::rows::{CommitReply, RowKey, RowRange, RowTransaction, RowVersion, StoredRow};
 use super::store::StoreLink;
 use super::turns::{LEDGER_KEY, PROGRAMS_TABLE, index_key, parse_turn_key, row_key};
@@ -39,19 +39,19 @@
 pub(crate) struct ProgramSweeper {
     instance: InstanceId,
     store: Rc<StoreLink>,
-    news: Rc<StoreNews>,
+    feed: Rc<ChangeFeed>,
 }
 
 impl ProgramSweeper {
-    pub(crate) fn new(instance: InstanceId, store: Rc<StoreLink>, news: Rc<StoreNews>) -> Self {
-        Self { instance, store, news }
+    pub(crate) fn new(instance: InstanceId, store: Rc<StoreLink>, feed: Rc<ChangeFeed>) -> Self {
+        Self { instance, store, feed }
     }
 
     pub(crate) async fn run(self) {
         // Programs are not read again before they expire.
         let mut expiries: BTreeMap<ProgramName, u64> = BTreeMap::new();
         loop {
-            let Some(table) = self.news.routes() else {
+            let Some(table) = self.feed.routes() else {
                 sleep(MIN_SWEEP_INTERVAL).await;
                 continue;
             };
@@ -102,10 +102,10 @@
     /// the ledger that was read.
     async fn acquire_lease(&self, interval: Duration) -> Result<bool, StoreError> {
         let key =
-            RowKey { table: LEASES_TABLE.into(), part: Box::default(), key: SWEEP_KEY.into() };
+            RowKey { table: LEASES_TABLE.into(), partition: Box::default(), key: SWEEP_KEY.into() };
         let range = RowRange {
             table: key.table.clone(),
-            part: Box::default(),
+            partition: Box::default(),
             from: Some(key.key.clone()),
             limit: Some(1),
         };
@@ -133,7 +133,7 @@
         let mut programs: Vec<ProgramName> = Vec::new();
         loop {
             let page =
-                self.store.parts(PROGRAMS_TABLE, programs.last().map(|last| &**last)).await?;
+                self.store.partitions(PROGRAMS_TABLE, programs.last().map(|last| &**last)).await?;
             let Some(last) = page.last().cloned() else { return Ok(programs) };
             if programs.last() == Some(&last) {
                 return Ok(programs);
@@ -146,7 +146,7 @@
     async fn expiry(&self, program: &ProgramName) -> Result<Option<(RowVersion, u64)>, StoreError> {
         let range = RowRange {
             table: PROGRAMS_TABLE.into(),
-            part: program.clone(),
+            partition: program.clone(),
             from: Some(LEDGER_KEY.into()),
             limit: Some(1),
         };
@@ -167,7 +167,7 @@
         loop {
             let range = RowRange {
                 table: PROGRAMS_TABLE.into(),
-                part: program.clone(),
+                partition: program.clone(),
                 from: None,
                 limit: Some(MAX_REMOVED_ROWS),
             };
@@ -185,9 +185,10 @@
             }
             let checks = vec![(ledger.clone(), version)];
             let transaction = RowTransaction { checks, puts: Vec::new(), removals };
-            let parts = transaction.by_part();
+            let partitions = transaction.by_partition();
             let single = [transaction];
-            let steps = if self.store.takes_across() { &single[..] } else { &parts[..] };
+            let steps =
+                if self.store.supports_cross_partition() { &single[..] } else { &partitions[..] };
             for step in steps {
                 if !matches!(self.store.commit(step).await?, CommitReply::Committed(_)) {
                     return Ok(false);
--- a/src/gateway/turns/chain.rs
+++ b/src/gateway/turns/chain.rs
@@ -91,7 +91,7 @@
         let key = index_key(turn);
         let range = RowRange {
             table: key.table.clone(),
-            part: key.part.clone(),
+            partition: key.partition.clone(),
             from: Some(key.key.clone()),
             limit: Some(1),
         };
@@ -104,7 +104,7 @@
     pub(super) async fn load(&self, program: &ProgramName) -> Result<(), StoreError> {
         let mut range = RowRange {
             table: PROGRAMS_TABLE.into(),
-            part: program.clone(),
+            partition: program.clone(),
             from: None,
             limit: None,
         };
--- a/src/gateway/turns/rows.rs
+++ b/src/gateway/turns/rows.rs
@@ -8,7 +8,7 @@
 use crate::core::turns::{ProgramLedger, ProgramName, TurnId, TurnRecord, split_value};
 use crate::gateway::rows::{RowKey, RowTransaction, RowVersion, StoredRow};
 
-/// Each program is a part of this table.
+/// Each program is a partition of this table.
 pub(crate) const PROGRAMS_TABLE: &str = "programs";
 const TURN_INDEX_TABLE: &str = "turn-programs";
 /// Sorts before the keys of turns.
@@ -19,12 +19,12 @@
 const ROW_OVERHEAD_BYTES: usize = 256;
 
 pub(crate) fn row_key(program: &ProgramName, key: &str) -> RowKey {
-    RowKey { table: PROGRAMS_TABLE.into(), part: program.clone(), key: key.into() }
+    RowKey { table: PROGRAMS_TABLE.into(), partition: program.clone(), key: key.into() }
 }
 
-/// Each index row has a part of its own, since the store serializes transactions of one part.
+/// Each index row has a partition of its own, since the store serializes transactions of one partition.
 pub(crate) fn index_key(turn: &TurnId) -> RowKey {
-    RowKey { table: TURN_INDEX_TABLE.into(), part: turn.clone(), key: turn.clone() }
+    RowKey { table: TURN_INDEX_TABLE.into(), partition: turn.clone(), key: turn.clone() }
 }
 
 pub(crate) fn parse_turn_key(key: &str) -> Option<(TurnId, usize)> {
