--- a/src/gateway/http/pool.rs
+++ b/src/gateway/http/pool.rs
@@ -82,7 +82,7 @@
 impl Default for ConnectionPool {
     fn default() -> Self {
         let usual_connect = Cell::new(LatencyEstimate::new(CONNECT_SHARE));
-        let usual_idle = Cell::new(LatencyEstimate::new(IDLE_SHARE).from(EXPECTED_IDLE));
+        let usual_idle = Cell::new(LatencyEstimate::new(IDLE_SHARE).with_initial(EXPECTED_IDLE));
         Self { idle: RefCell::default(), usual_connect, usual_idle }
     }
 }
@@ -130,7 +130,7 @@
             .await
             .map_err(|_| ConnectError::Late)??;
         let mut usual = self.usual_connect.get();
-        usual.answered(begun);
+        usual.record_since(begun);
         self.usual_connect.set(usual);
         watch_peer(&stream);
         Ok(UpstreamConnection::new(stream))
@@ -167,7 +167,7 @@
         let idle = self.idle.borrow();
         let Some(newest) = idle.get(address).and_then(|waiting| waiting.last()) else { return };
         let mut usual = self.usual_idle.get();
-        usual.answered(newest.used);
+        usual.record_since(newest.used);
         self.usual_idle.set(usual);
     }
 
--- a/src/gateway/news/reader.rs
+++ b/src/gateway/news/reader.rs
@@ -81,7 +81,7 @@
                 Ok(()) => self.set_led(Some(&reader)),
                 Err(failure) => {
                     log::info!("event=news_reader_passed_over peer={reader} error=\"{failure}\"");
-                    failed.note(&reader);
+                    failed.record(&reader);
                     self.set_led(None);
                 }
             }
--- a/src/gateway/quotas/asker.rs
+++ b/src/gateway/quotas/asker.rs
@@ -242,7 +242,7 @@
             && round + 1 >= ALONE
             && let Some(first) = peers.first()
         {
-            self.silent.borrow_mut().note(first);
+            self.silent.borrow_mut().record(first);
         }
         reply
     }
--- a/src/gateway/store/health.rs
+++ b/src/gateway/store/health.rs
@@ -106,7 +106,7 @@
         self.answered();
         self.direct_answered = Some(Instant::now());
         if !held {
-            self.latency.answered(begun);
+            self.latency.record_since(begun);
         }
         if self.direct_failed.take().is_some() {
             log::info!("event=dependency_regained dependency=store way=direct");
--- a/src/gateway/store/relay_order.rs
+++ b/src/gateway/store/relay_order.rs
@@ -31,7 +31,7 @@
             self.proven = Some(peer.into());
             return;
         }
-        self.failed.note(peer);
+        self.failed.record(peer);
         if self.proven.as_deref() == Some(peer) {
             self.proven = None;
         }
--- a/src/gateway/turns/coordinate.rs
+++ b/src/gateway/turns/coordinate.rs
@@ -178,12 +178,12 @@
         match answer {
             Ok(answer) => {
                 if extra.is_zero() {
-                    coordinators.latency.answered(begun);
+                    coordinators.latency.record_since(begun);
                 }
                 Ok(answer)
             }
             Err(error) => {
-                coordinators.failed.note(peer);
+                coordinators.failed.record(peer);
                 log::info!(
                     "event=coordinator_passed_over peer={peer} path={path} error=\"{error}\""
                 );
