--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -14,7 +14,7 @@
 use crate::core::ids::UpstreamId;
 use crate::core::upstreams::AttemptResult;
 use crate::gateway::attempt::{AttemptLog, UpstreamAnswer};
-use crate::gateway::events::{EventParser, WholeEvents};
+use crate::gateway::events::{EventFramer, EventParser};
 use crate::gateway::http::{AnswerError, CallerWriter};
 use crate::gateway::refusal::Refusal;
 use crate::gateway::{Gateway, GatewayMechanism};
@@ -32,7 +32,7 @@
 struct RelayState {
     events: EventParser,
     /// Set where a stream may go on elsewhere, for which callers get whole events only.
-    whole: Option<WholeEvents>,
+    whole: Option<EventFramer>,
     /// Time until the first byte of the body was passed on.
     first: Option<Duration>,
     /// When the first bytes came of the answer that is being read.
@@ -46,7 +46,7 @@
         let is_resumable = call.route.is_resumable && answer.is_event_stream();
         Self {
             events: EventParser::default(),
-            whole: is_resumable.then(WholeEvents::default),
+            whole: is_resumable.then(EventFramer::default),
             first: None,
             first_at: None,
             before: 0,
@@ -55,7 +55,7 @@
 
     /// Whether the body may end here.
     fn is_whole(&self) -> bool {
-        self.whole.as_ref().is_none_or(WholeEvents::is_empty)
+        self.whole.as_ref().is_none_or(EventFramer::is_empty)
     }
 
     /// Forgets the part of an event that came before the answer broke off.
@@ -135,7 +135,7 @@
                 continue;
             }
             let events = state.events.push(&chunk);
-            if state.whole.is_some() && state.events.is_disordered() {
+            if state.whole.is_some() && state.events.is_out_of_order() {
                 return Err(RelayError::Broken(AnswerError::Foreign));
             }
             if let Some(turn) = turn.as_mut() {
@@ -169,7 +169,7 @@
         drop((connection, guard));
         let last = state.events.last_id().cloned();
         let is_known = state.events.events() == 0 || last.is_some();
-        if state.whole.is_none() || !is_known || state.events.is_disordered() {
+        if state.whole.is_none() || !is_known || state.events.is_out_of_order() {
             return Err(choice.id);
         }
         state.restart();
@@ -214,7 +214,7 @@
         }
         self.pool.put(&choice.address, connection, info.keep_alive);
         if let Some(mut turn) = turn.filter(|_| status == StatusCode::OK) {
-            if !events.is_whole() {
+            if !events.is_complete() {
                 return CallEnd::cut("stream_torn", Some(upstream));
             }
             turn.note_holder(call.head.line.as_ref(), &choice);
--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -1,11 +1,11 @@
-//! Events of a stream (`text/event-stream`) as they pass.
+//! Incremental parsing and framing of `text/event-stream` bodies for the relay.
 
 use bytes::{Bytes, BytesMut};
 
-/// Name of an event; those of a stream increase.
+/// The `id` field of an event. Numeric ids increase within a stream.
 pub(crate) type EventId = Box<str>;
 
-/// Reads events from a body that comes in arbitrary pieces.
+/// Parses events from a body that arrives in arbitrary chunks.
 #[derive(Debug, Default)]
 pub(crate) struct EventParser {
     line: BytesMut,
@@ -13,17 +13,17 @@
     in_event: bool,
     events: u64,
     output: BytesMut,
-    /// What the event under way names itself.
+    /// Id of the event being parsed.
     id: Option<EventId>,
     last_id: Option<EventId>,
-    disordered: bool,
+    out_of_order: bool,
 }
 
 impl EventParser {
-    /// Takes in a piece of the body; the number of events that end in it.
-    pub(crate) fn push(&mut self, piece: &[u8]) -> u64 {
+    /// Parses a chunk and returns the number of events that it completes.
+    pub(crate) fn push(&mut self, chunk: &[u8]) -> u64 {
         let before = self.events;
-        for part in piece.split_inclusive(|byte| *byte == b'\n') {
+        for part in chunk.split_inclusive(|byte| *byte == b'\n') {
             self.line.extend_from_slice(part);
             if part.ends_with(b"\n") {
                 self.end_line();
@@ -63,78 +63,77 @@
         self.output.extend_from_slice(&data);
         self.output.extend_from_slice(b"\n");
         if let Some(id) = self.id.take() {
-            self.disordered |= self.last_id.as_ref().is_some_and(|last| !follows(last, &id));
+            self.out_of_order |= self.last_id.as_ref().is_some_and(|last| !follows(last, &id));
             self.last_id = Some(id);
         }
     }
 
-    /// Whether the body may end here: no event has been begun.
-    pub(crate) fn is_whole(&self) -> bool {
+    /// True if the body may end here, that is, between events.
+    pub(crate) fn is_complete(&self) -> bool {
         self.line.is_empty() && !self.in_event
     }
 
-    /// Name of the last event that has ended.
+    /// Id of the last complete event.
     pub(crate) fn last_id(&self) -> Option<&EventId> {
         self.last_id.as_ref()
     }
 
-    /// Whether an event came that does not follow the one before.
-    pub(crate) fn is_disordered(&self) -> bool {
-        self.disordered
+    /// True if the ids of the stream did not increase.
+    pub(crate) fn is_out_of_order(&self) -> bool {
+        self.out_of_order
     }
 
-    /// Events that have ended so far.
+    /// Number of complete events.
     pub(crate) fn events(&self) -> u64 {
         self.events
     }
 
-    /// The data of all events, each followed by a line feed.
+    /// Returns the data of all events, each followed by a line feed.
     pub(crate) fn into_output(self) -> Bytes {
         self.output.freeze()
     }
 }
 
-/// Holds back the part of an event that has come, so that a stream which breaks off in the middle of
-/// one can go on after the event before.
+/// Passes on complete events only, so that an interrupted stream can be resumed after the last one.
 #[derive(Debug, Default)]
-pub(crate) struct WholeEvents {
-    held: BytesMut,
-    /// Where the line begins that has no end yet.
-    line: usize,
+pub(crate) struct EventFramer {
+    buffer: BytesMut,
+    /// Offset of the incomplete line in `buffer`.
+    line_start: usize,
 }
 
-impl WholeEvents {
-    /// Takes in a piece; all events that are whole now.
-    pub(crate) fn push(&mut self, piece: &[u8]) -> Bytes {
+impl EventFramer {
+    /// Adds a chunk and returns the events that are complete.
+    pub(crate) fn push(&mut self, chunk: &[u8]) -> Bytes {
         let mut end = 0;
-        for part in piece.split_inclusive(|byte| *byte == b'\n') {
-            self.held.extend_from_slice(part);
+        for part in chunk.split_inclusive(|byte| *byte == b'\n') {
+            self.buffer.extend_from_slice(part);
             if !part.ends_with(b"\n") {
                 break;
             }
-            let line = &self.held[self.line..];
+            let line = &self.buffer[self.line_start..];
             if matches!(line, b"\n" | b"\r\n") {
-                end = self.held.len();
+                end = self.buffer.len();
             }
-            self.line = self.held.len();
+            self.line_start = self.buffer.len();
         }
-        self.line -= end;
-        self.held.split_to(end).freeze()
+        self.line_start -= end;
+        self.buffer.split_to(end).freeze()
     }
 
-    /// Whether part of an event is held back.
+    /// True if no incomplete event is buffered.
     pub(crate) fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.buffer.is_empty()
     }
 
-    /// Drops the part of an event that is held back.
+    /// Drops the incomplete event.
     pub(crate) fn clear(&mut self) {
-        self.held.clear();
-        self.line = 0;
+        self.buffer.clear();
+        self.line_start = 0;
     }
 }
 
-/// Whether an event may follow another one.
+/// Ids that are not numbers only have to differ.
 fn follows(last: &str, next: &str) -> bool {
     match (last.parse::<u64>(), next.parse::<u64>()) {
         (Ok(last), Ok(next)) => next > last,
