--- a/src/gateway/desk.rs
+++ b/src/gateway/handlers.rs
@@ -1,4 +1,4 @@
-//! The small questions: is this instance ready, which addresses are in use, peers' store calls.
+//! HTTP handlers for readiness, the address directory, peers and metrics.
 
 use std::rc::Rc;
 
@@ -18,7 +18,6 @@
 const JSON: &str = "application/json";
 const BINARY: &str = "application/octet-stream";
 
-/// Answers whether callers may be sent here.
 pub(crate) fn ready_handler(gateway: Rc<Gateway>) -> HttpHandler {
     handler(move |request: HttpRequest| {
         let gateway = gateway.clone();
@@ -34,7 +33,7 @@
     })
 }
 
-/// Answers callers that ask where to connect.
+/// Serves the list of instances that callers may connect to.
 pub(crate) fn directory_handler(gateway: Rc<Gateway>) -> HttpHandler {
     handler(move |request: HttpRequest| {
         let gateway = gateway.clone();
@@ -50,18 +49,18 @@
     if addresses.is_empty() {
         return text_response(StatusCode::SERVICE_UNAVAILABLE, "no instance is ready");
     }
-    let keep = gateway.settings.address_keep();
-    body_response(StatusCode::OK, JSON, gateway.dialect.address_reply(&addresses, keep))
+    let ttl = gateway.settings.address_keep();
+    body_response(StatusCode::OK, JSON, gateway.dialect.address_reply(&addresses, ttl))
 }
 
-/// Serves other instances and whoever reads metrics.
+/// Serves other instances and metrics scrapers.
 pub(crate) fn peer_handler(gateway: Rc<Gateway>) -> HttpHandler {
     handler(move |request: HttpRequest| {
         let gateway = gateway.clone();
         async move {
             match (&request.method, &*request.path) {
                 (&Method::POST, RELAY_PATH) => relay(&gateway, &request.body).await,
-                (&Method::POST, NEWS_PATH) => news(&gateway, &request.body).await,
+                (&Method::POST, NEWS_PATH) => changes(&gateway, &request.body).await,
                 (&Method::POST, CLAIM_PATH | KEEP_PATH | SETTLE_PATH) => {
                     let (status, reply) =
                         gateway.turns.serve_peer(&request.path, request.body).await;
@@ -84,8 +83,8 @@
     }
 }
 
-async fn news(gateway: &Gateway, question: &[u8]) -> HttpResponse {
-    match gateway.news.serve_news(question).await {
+async fn changes(gateway: &Gateway, query: &[u8]) -> HttpResponse {
+    match gateway.news.serve_news(query).await {
         Some(reply) => body_response(StatusCode::OK, BINARY, reply),
         None => text_response(StatusCode::SERVICE_UNAVAILABLE, "no fresh news"),
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -7,16 +7,16 @@
 mod attempt;
 mod call;
 mod committer;
-mod desk;
 pub mod dialect;
 mod events;
+mod handlers;
 mod http;
 mod latency;
 mod members;
 mod metrics;
 mod news;
-mod offer;
 mod quotas;
+mod readiness;
 mod refusal;
 pub mod rows;
 mod run;
@@ -40,8 +40,8 @@
 use members::MemberView;
 use metrics::{GatewayMetrics, GatewaySample};
 use news::StoreNews;
-use offer::CallerOffer;
 use quotas::QuotaKeeper;
+use readiness::AdvertisedReadiness;
 use stop::StopState;
 use store::StoreLink;
 use turns::TurnKeeper;
@@ -63,7 +63,7 @@
     pub(crate) quotas: Rc<dyn QuotaKeeper>,
     pub(crate) metrics: GatewayMetrics,
     pub(crate) stop: StopState,
-    pub(crate) offer: CallerOffer,
+    pub(crate) readiness: AdvertisedReadiness,
     /// Which new programs are let in.
     pub(crate) gate: RefCell<AdmissionGate>,
     pub(crate) open_calls: Cell<u32>,
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -12,14 +12,14 @@
 
 use super::Gateway;
 use super::committer::StoreCommitter;
-use super::desk::{directory_handler, peer_handler, ready_handler};
 use super::dialect::GatewayDialect;
+use super::handlers::{directory_handler, peer_handler, ready_handler};
 use super::http::ConnectionPool;
 use super::members::MemberView;
 use super::metrics::GatewayMetrics;
 use super::news::{NewsReaders, StoreNews};
-use super::offer::CallerOffer;
 use super::quotas::{LeastMembers, LimiterQuota, QuotaKeeper, ShareQuota, SizeKeeper};
+use super::readiness::AdvertisedReadiness;
 use super::server::serve_callers;
 use super::settings::{GatewayMechanism, GatewaySettings, QuotaWay};
 use super::stop::StopState;
@@ -140,7 +140,7 @@
         members: members.clone(),
         quotas,
         stop: StopState::default(),
-        offer: CallerOffer::default(),
+        readiness: AdvertisedReadiness::default(),
         gate: RefCell::default(),
         open_calls: Cell::new(0),
         calls_ended: Notify::new(),
@@ -199,14 +199,14 @@
     async fn do_chores(self: Rc<Self>) {
         let mut seen = self.members.changes();
         loop {
-            self.update_offer();
+            self.update_readiness();
             self.pool.prune();
             let changes = self.members.changes();
             if std::mem::replace(&mut seen, changes) != changes || self.is_draining() {
                 self.turns.hand_over(|programs| self.members.not_coordinated(programs));
             }
             self.follow_heads().await;
-            sleep(if self.offer.is_announced() { CHORES_PACE } else { START_PACE }).await;
+            sleep(if self.readiness.is_announced() { CHORES_PACE } else { START_PACE }).await;
         }
     }
 
