--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -1,4 +1,4 @@
-//! Puts a gateway on its sockets and runs its tasks.
+//! Binds the sockets of a gateway and starts its tasks.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -29,19 +29,17 @@
 use crate::node::LaunchError;
 use crate::util::http_server::serve_http;
 
-/// Largest body on the address for peers: a store transaction of 1 MB, encoded twice.
+/// Fits a relayed store transaction of the largest size, which is Base64-encoded twice.
 const MAX_PEER_BODY: usize = 4 * 1024 * 1024;
 /// The ready and directory addresses take no bodies.
-const MAX_QUESTION: usize = 1024;
-/// How often idle connections are looked through, and news of peers looked at.
-const CHORES_PACE: Duration = Duration::from_millis(200);
-/// How often an instance that starts looks whether it is ready; callers wait for it.
-const START_PACE: Duration = Duration::from_millis(10);
-/// How long a reader of news has for a version of the routes that peers know already. Routes are long, and
-/// whoever has a reader gets them from it at no price.
-const READER_PATIENCE: Duration = Duration::from_millis(600);
+const MAX_QUERY_BODY: usize = 1024;
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
+/// Maintenance interval until the instance is ready; callers may be waiting for it.
+const STARTUP_INTERVAL: Duration = Duration::from_millis(10);
+/// Time for the zone's reader of the change feed to deliver a version of the routes that peers
+/// already have. After that, the instance reads the routes from the store itself.
+const FEED_READER_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// The sockets of one gateway, open.
 pub struct GatewaySockets {
     callers: TcpListener,
     ready: TcpListener,
@@ -51,43 +49,42 @@
 }
 
 impl GatewaySockets {
-    /// Opens the addresses of the settings. Those with port 0 get a free port, which is written
-    /// back into the settings.
+    /// Binds the addresses of the settings. Where the port is 0, the port that was assigned is
+    /// written back.
     pub async fn open(settings: &mut GatewaySettings) -> Result<Self, LaunchError> {
         let callers = listen(&mut settings.caller_address).await?;
         let ready = listen(&mut settings.ready_address).await?;
         let directory = listen(&mut settings.directory_address).await?;
         let peers = listen(&mut settings.peer_address).await?;
         let address = settings.gossip_address(&settings.peer_address);
-        let gossip = named(&address, UdpSocket::bind(&*address).await)?;
-        settings.gossip_port = named(&address, gossip.local_addr())?.port();
+        let gossip = with_address(&address, UdpSocket::bind(&*address).await)?;
+        settings.gossip_port = with_address(&address, gossip.local_addr())?.port();
         Ok(Self { callers, ready, directory, peers, gossip })
     }
 }
 
 async fn listen(address: &mut Box<str>) -> Result<TcpListener, LaunchError> {
-    let listener = named(address, TcpListener::bind(&**address).await)?;
-    *address = named(address, listener.local_addr())?.to_string().into();
+    let listener = with_address(address, TcpListener::bind(&**address).await)?;
+    *address = with_address(address, listener.local_addr())?.to_string().into();
     Ok(listener)
 }
 
-fn named<T>(address: &str, bound: io::Result<T>) -> Result<T, LaunchError> {
+fn with_address<T>(address: &str, bound: io::Result<T>) -> Result<T, LaunchError> {
     bound.map_err(|error| LaunchError::new(address, error))
 }
 
-/// A gateway with all its tasks.
 pub struct RunningGateway {
     gateway: Rc<Gateway>,
 }
 
 impl RunningGateway {
-    /// Stops gracefully; true if nothing was cut off.
+    /// Stops gracefully. Returns true if no open call was cut off.
     pub async fn shut_down(&self) -> bool {
         self.gateway.shut_down().await
     }
 
-    /// Reads the settings again. What a running process can change is taken over; a file that
-    /// cannot be read changes nothing.
+    /// Reloads the settings and applies those that can change at run time, which are the seeds.
+    /// A file that cannot be read changes nothing.
     pub fn reload(&self, path: &Path) {
         match GatewaySettings::load(path) {
             Ok(settings) => {
@@ -99,7 +96,6 @@
     }
 }
 
-/// Starts a gateway on its sockets.
 pub fn launch_gateway(
     settings: GatewaySettings,
     sockets: GatewaySockets,
@@ -160,18 +156,18 @@
     actix_rt::spawn(news.clone().follow_routes());
     actix_rt::spawn(news.clone().follow_upstreams());
     actix_rt::spawn(news.follow_outages());
-    actix_rt::spawn(gateway.clone().do_chores());
+    actix_rt::spawn(gateway.clone().run_maintenance());
     let ready = ready_handler(gateway.clone());
     let directory = directory_handler(gateway.clone());
     let peers = peer_handler(gateway.clone());
-    actix_rt::spawn(serve_http(sockets.ready, MAX_QUESTION, ready));
-    actix_rt::spawn(serve_http(sockets.directory, MAX_QUESTION, directory));
+    actix_rt::spawn(serve_http(sockets.ready, MAX_QUERY_BODY, ready));
+    actix_rt::spawn(serve_http(sockets.directory, MAX_QUERY_BODY, directory));
     actix_rt::spawn(serve_http(sockets.peers, MAX_PEER_BODY, peers));
     actix_rt::spawn(serve_callers(gateway.clone(), sockets.callers));
     RunningGateway { gateway }
 }
 
-/// Starts the keeper of limits that the settings name.
+/// Starts the quota enforcement that the settings select.
 fn launch_quotas(
     settings: &GatewaySettings,
     store: &Rc<StoreLink>,
@@ -179,15 +175,16 @@
     news: &Rc<StoreNews>,
 ) -> Rc<dyn QuotaKeeper> {
     let least = LeastMembers::default();
-    let me = settings.instance.clone();
-    let size = SizeKeeper::new(me.clone(), store.clone(), members.clone(), least.clone());
+    let instance = settings.instance.clone();
+    let size = SizeKeeper::new(instance.clone(), store.clone(), members.clone(), least.clone());
     actix_rt::spawn(size.run());
     let bounds = settings.quota_bounds();
     if settings.quota_way == QuotaWay::Shares {
         return Rc::new(ShareQuota::new(bounds, members.clone(), least));
     }
     let by_program = settings.uses(GatewayMechanism::ProgramQuota);
-    let limiter = LimiterQuota::new(me, bounds, by_program, members.clone(), news.clone(), least);
+    let limiter =
+        LimiterQuota::new(instance, bounds, by_program, members.clone(), news.clone(), least);
     let limiter = Rc::new(limiter);
     members.set_quotas(limiter.clone());
     actix_rt::spawn(limiter.clone().run());
@@ -195,30 +192,36 @@
 }
 
 impl Gateway {
-    /// Says when the instance becomes ready, and looks after idle connections and peers' news.
-    async fn do_chores(self: Rc<Self>) {
-        let mut seen = self.members.changes();
+    /// Updates the advertised readiness, prunes idle connections, and reacts to membership and
+    /// route changes that peers report.
+    async fn run_maintenance(self: Rc<Self>) {
+        let mut seen_changes = self.members.changes();
         loop {
             self.update_readiness();
             self.pool.prune();
             let changes = self.members.changes();
-            if std::mem::replace(&mut seen, changes) != changes || self.is_draining() {
+            if std::mem::replace(&mut seen_changes, changes) != changes || self.is_draining() {
                 self.turns.hand_over(|programs| self.members.not_coordinated(programs));
             }
-            self.follow_heads().await;
-            sleep(if self.readiness.is_announced() { CHORES_PACE } else { START_PACE }).await;
+            self.fetch_newer_routes().await;
+            sleep(if self.readiness.is_announced() {
+                MAINTENANCE_INTERVAL
+            } else {
+                STARTUP_INTERVAL
+            })
+            .await;
         }
     }
 
-    /// Reads the routes at once if a peer has newer ones: this instance's own question may hang on
-    /// a connection that has gone silent.
-    async fn follow_heads(&self) {
+    /// Reads the routes at once if a peer has a newer version, since the instance's own pending
+    /// read of the change feed may hang on a dead connection.
+    async fn fetch_newer_routes(&self) {
         let version = self.news.routes().map_or(0, |table| table.version);
         self.members.set_head(version);
-        let (heard, since) = self.members.heard_head();
-        let patience = if self.news.is_led() { READER_PATIENCE } else { Duration::ZERO };
-        if heard > version && version > 0 && since.elapsed() >= patience {
-            self.news.catch_up(heard).await;
+        let (peer_version, since) = self.members.heard_head();
+        let timeout = if self.news.is_led() { FEED_READER_TIMEOUT } else { Duration::ZERO };
+        if peer_version > version && version > 0 && since.elapsed() >= timeout {
+            self.news.catch_up(peer_version).await;
         }
     }
 }
