--- a/src/gateway/handlers.rs
+++ b/src/gateway/handlers.rs
@@ -49,7 +49,7 @@
     if addresses.is_empty() {
         return text_response(StatusCode::SERVICE_UNAVAILABLE, "no instance is ready");
     }
-    let ttl = gateway.settings.address_keep();
+    let ttl = gateway.settings.address_ttl();
     body_response(StatusCode::OK, JSON, gateway.dialect.address_reply(&addresses, ttl))
 }
 
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -48,7 +48,7 @@
 
 pub use quotas::LIMITS_PATH;
 pub use run::{GatewaySockets, RunningGateway, launch_gateway};
-pub use settings::{GatewayMechanism, GatewaySettings, QuotaWay};
+pub use settings::{GatewayMechanism, GatewaySettings, QuotaMode};
 
 /// One running gateway. All its tasks share it on one thread.
 pub(crate) struct Gateway {
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -21,7 +21,7 @@
 use super::quotas::{LeastMembers, LimiterQuota, QuotaKeeper, ShareQuota, SizeKeeper};
 use super::readiness::AdvertisedReadiness;
 use super::server::serve_callers;
-use super::settings::{GatewayMechanism, GatewaySettings, QuotaWay};
+use super::settings::{GatewayMechanism, GatewaySettings, QuotaMode};
 use super::stop::StopState;
 use super::store::StoreLink;
 use super::sweep::ProgramSweeper;
@@ -179,7 +179,7 @@
     let size = SizeKeeper::new(instance.clone(), store.clone(), members.clone(), least.clone());
     actix_rt::spawn(size.run());
     let bounds = settings.quota_bounds();
-    if settings.quota_way == QuotaWay::Shares {
+    if settings.quota_way == QuotaMode::Shares {
         return Rc::new(ShareQuota::new(bounds, members.clone(), least));
     }
     let by_program = settings.uses(GatewayMechanism::ProgramQuota);
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway: JSON, read and checked before anything starts and again on SIGHUP.
+//! Settings of a gateway: a JSON file that is loaded at startup and again on SIGHUP.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -10,123 +10,119 @@
 use crate::config::SettingsError;
 use crate::core::quotas::QuotaBounds;
 
-/// Everything a gateway learns from its settings file.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewaySettings {
-    /// Name of the instance; unique in the deployment.
+    /// Unique in the deployment.
     pub instance: Box<str>,
     pub zone: Box<str>,
     pub region: Box<str>,
-    /// Where callers connect, `IP:port`.
+    /// Address for callers, `IP:port` like all addresses here.
     pub caller_address: Box<str>,
-    /// Where the platform asks whether the instance is ready.
+    /// Address of the platform's readiness probe.
     pub ready_address: Box<str>,
-    /// Where callers ask which instances to use.
+    /// Address at which callers look up instances.
     pub directory_address: Box<str>,
-    /// Where other instances connect; also serves metrics at `/metrics`.
+    /// Address for other instances; also serves `/metrics`.
     pub peer_address: Box<str>,
-    /// First of the ports free for traffic between instances; the failure detector's, UDP.
+    /// UDP port of the failure detector.
     pub gossip_port: u16,
-    /// Peer addresses of a few instances; they may be stale.
+    /// Peer addresses of a few instances, possibly stale.
     #[serde(default)]
     pub seeds: Vec<Box<str>>,
-    /// Address of the platform's store.
     pub store_address: Box<str>,
-    /// Largest value of a row, in bytes.
+    /// Maximum size of a row's value, in bytes.
     pub store_row_bytes: usize,
-    /// Whether the store takes transactions over several parts; no if absent.
+    /// True if the store supports transactions that span partitions.
     #[serde(default)]
     pub store_across_parts: Option<bool>,
-    /// Memory this process may use, in megabytes.
+    /// Memory limit of the process.
     pub memory_mb: u64,
-    /// Time from SIGTERM until the process is killed, in seconds.
+    /// Time from SIGTERM to SIGKILL.
     pub grace_seconds: f64,
-    /// Longest time callers keep a list of addresses, in seconds.
+    /// Maximum TTL of an address list.
     pub address_keep_seconds: f64,
-    /// Whether callers' keys stop counting once they have not been confirmed for
-    /// `revoke_millis`; no if absent.
+    /// Rejects API keys that have not been confirmed for `revoke_millis`.
     #[serde(default)]
     pub strict_revoke: Option<bool>,
-    /// Longest time a key may count that was taken away.
+    /// Maximum time for which a revoked key is still accepted.
     #[serde(default)]
     pub revoke_millis: Option<u64>,
-    /// Window in which a workspace's requests are counted against its limit, in seconds.
+    /// Window over which a workspace's requests are counted against its limit.
     #[serde(default)]
     pub quota_window_seconds: Option<f64>,
-    /// Part of a workspace's limit by which a window may exceed it; 0 if absent.
+    /// Fraction by which a window may exceed the limit; 0 if absent.
     #[serde(default)]
     pub quota_over: Option<f64>,
-    /// Requests by which a window may exceed a limit besides; 0 if absent.
+    /// Requests by which a window may exceed the limit in addition; 0 if absent.
     #[serde(default)]
     pub quota_slack: Option<f64>,
-    /// How limits are kept over all instances.
+    /// Quota mode; the field has the name of the setting.
     #[serde(default)]
-    pub quota_way: QuotaWay,
-    /// Mechanisms to do without, to measure what they are worth; none in service.
+    pub quota_way: QuotaMode,
+    /// Mechanisms to disable, for comparisons; empty in production.
     #[serde(default)]
     pub without: BTreeSet<GatewayMechanism>,
 }
 
-/// How a workspace's limit is kept over all instances.
+/// How a workspace's limit is enforced over all instances.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum QuotaWay {
-    /// One member counts for all.
+pub enum QuotaMode {
+    /// One member counts the requests of all instances.
     #[default]
     Limiter,
-    /// Each instance has an equal part of the limit.
+    /// Each instance enforces an equal share of the limit.
     Shares,
 }
 
-/// A mechanism that serves callers better and that no promise rests on.
+/// Optional mechanism that improves service but that correctness does not depend on.
+///
+/// The names of the variants are setting values.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GatewayMechanism {
-    /// New programs are turned away while engines have far more work than they can do.
+    /// Rejects new programs while engines are overloaded.
     AdmissionGate,
-    /// One instance of a zone claims, keeps and settles a program's turns for the others.
+    /// One instance of a zone claims, stores and settles a program's turns for the others.
     Coordinators,
-    /// One instance of many in a zone asks the store for news of routes and upstreams.
+    /// One instance of a zone reads the change feed of the store and passes it on to the others.
     NewsReaders,
-    /// Callers are sent elsewhere while only peers reach the store.
+    /// Withdraws the advertised readiness while the store is reachable only through peers.
     OfferWithdrawal,
-    /// Turns wait for a store that is away as a whole.
+    /// Turns wait during an outage of the whole store.
     OutageWait,
-    /// Writes refused for the store's rate wait for a later batch.
+    /// Writes that the store rejects for their rate wait for a later batch.
     RateHold,
-    /// Peers make store calls for an instance that is cut off.
+    /// Peers relay store calls of an instance that cannot reach the store.
     Relays,
-    /// Engines that leave requests without a word are avoided.
+    /// Avoids engines that do not respond.
     SilenceAvoidance,
-    /// Engines whose events come slowly are avoided.
+    /// Avoids engines whose events arrive slowly.
     PaceAvoidance,
-    /// A program's first request is held to what all of them are expected to need.
+    /// Charges a program's first request with the expected requests of the whole program.
     ProgramQuota,
-    /// Prompts go where their parts have been read.
+    /// Prefers engines that have processed the same prompt blocks.
     PromptPlacement,
 }
 
-/// Least a row must hold: a turn is cut into rows of this size.
+/// Turns are split into rows of the configured size.
 const MIN_ROW_BYTES: usize = 1024;
-/// Callers keep a list at most this long, some three times as long; a stop waits for that.
-const WANTED_KEEP: Duration = Duration::from_secs(1);
-/// Part of the memory for cached turns: chains are read again at the price of one store call, so
-/// the cache stays small against the rest of the process.
-const CACHE_SHARE: u64 = 10;
-/// Part of the memory for bodies that are being received or sent.
-const BODY_SHARE: u64 = 4;
-/// Window of limits where the settings name none: what operators allow where they allow any.
-const QUOTA_WINDOW: Duration = Duration::from_secs(5);
+/// Kept short because a graceful shutdown waits until address lists have expired.
+const MAX_ADDRESS_TTL: Duration = Duration::from_secs(1);
+/// Divides the memory limit to give the size of the turn cache, which can be small since a miss
+/// costs one store call.
+const CACHE_DIVISOR: u64 = 10;
+/// Divides the memory limit to give the memory for bodies in transit.
+const BODY_DIVISOR: u64 = 4;
+const DEFAULT_QUOTA_WINDOW: Duration = Duration::from_secs(5);
 const MEGABYTE: u64 = 1024 * 1024;
 
 impl GatewaySettings {
-    /// Reads and checks a settings file.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         Self::parse(&fs::read_to_string(path)?)
     }
 
-    /// Parses and checks settings.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let settings: Self = serde_json::from_str(text)?;
         settings.check()?;
@@ -178,16 +174,15 @@
         Ok(())
     }
 
-    /// How old the keys known here may be; none where they count however old they are.
+    /// Maximum age of the last confirmation of a key; none if keys do not expire.
     pub(crate) fn strict_key_age(&self) -> Option<Duration> {
         let strict = self.strict_revoke.unwrap_or(false);
         self.revoke_millis.filter(|_| strict).map(Duration::from_millis)
     }
 
-    /// How exactly limits must be kept.
     pub(crate) fn quota_bounds(&self) -> QuotaBounds {
         QuotaBounds {
-            window: self.quota_window_seconds.map_or(QUOTA_WINDOW, Duration::from_secs_f64),
+            window: self.quota_window_seconds.map_or(DEFAULT_QUOTA_WINDOW, Duration::from_secs_f64),
             over: self.quota_over.unwrap_or(0.0),
             slack: self.quota_slack.unwrap_or(0.0),
         }
@@ -203,13 +198,12 @@
         ]
     }
 
-    /// The failure detector's address of the instance with this peer address.
+    /// Address of the failure detector of the instance with this peer address.
     pub fn gossip_address(&self, peer: &str) -> Box<str> {
         let host = peer.rsplit_once(':').map_or(peer, |(host, _)| host);
         format!("{host}:{}", self.gossip_port).into()
     }
 
-    /// Whether a mechanism is in use.
     pub(crate) fn uses(&self, mechanism: GatewayMechanism) -> bool {
         !self.without.contains(&mechanism)
     }
@@ -218,17 +212,16 @@
         Duration::from_secs_f64(self.grace_seconds)
     }
 
-    /// How long callers are told to keep a list of addresses.
-    pub fn address_keep(&self) -> Duration {
-        WANTED_KEEP.min(Duration::from_secs_f64(self.address_keep_seconds))
+    pub fn address_ttl(&self) -> Duration {
+        MAX_ADDRESS_TTL.min(Duration::from_secs_f64(self.address_keep_seconds))
     }
 
     pub fn cache_bytes(&self) -> usize {
-        (self.memory_mb * MEGABYTE / CACHE_SHARE) as usize
+        (self.memory_mb * MEGABYTE / CACHE_DIVISOR) as usize
     }
 
     pub fn body_bytes(&self) -> usize {
-        (self.memory_mb * MEGABYTE / BODY_SHARE) as usize
+        (self.memory_mb * MEGABYTE / BODY_DIVISOR) as usize
     }
 }
 
--- a/src/gateway/stop.rs
+++ b/src/gateway/stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop: callers go elsewhere, requests under way are finished, nothing is cut off.
+//! Graceful shutdown: callers move to other instances while open calls finish.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,31 +9,31 @@
 
 use super::Gateway;
 
-/// How long the news of a leave takes to reach the instances that name addresses.
-const NEWS_TIME: Duration = Duration::from_millis(300);
-/// Callers keep a list of addresses up to this many times as long as it says.
-const KEEP_FACTOR: u32 = 3;
-/// When connections that carry no request are closed, after the start of a stop.
-const IDLE_CLOSE: Duration = Duration::from_millis(600);
-/// Left of the time for a stop when requests that still run are given up.
+/// Time for the leave to reach all instances that serve the address directory.
+const LEAVE_PROPAGATION_DELAY: Duration = Duration::from_millis(300);
+/// Some callers cache an address list for up to this multiple of its TTL.
+const ADDRESS_TTL_FACTOR: u32 = 3;
+/// Delay from the start of the shutdown until idle connections are closed.
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(600);
+/// Part of the grace period that is reserved for the exit itself; calls that are still open by
+/// then are abandoned.
 const EXIT_MARGIN: Duration = Duration::from_millis(250);
-/// Time for last answers to leave the machine.
-const LINGER: Duration = Duration::from_millis(100);
+/// Time for the last responses to be transmitted.
+const FLUSH_DELAY: Duration = Duration::from_millis(100);
 
-/// How far a stop has come.
+/// Ordered: each phase includes the restrictions of those before it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 enum StopPhase {
     #[default]
     Serving,
-    /// Answers say that the connection closes; new connections are still served.
+    /// Responses announce the close of the connection; new connections are still served.
     Draining,
-    /// Idle connections are closed too.
+    /// Idle connections are closed.
     ClosingIdle,
-    /// No connection is accepted any more.
+    /// New connections are not accepted.
     Refusing,
 }
 
-/// The phase of a stop, which connections wait for.
 #[derive(Debug, Default)]
 pub(crate) struct StopState {
     phase: Cell<StopPhase>,
@@ -70,21 +70,22 @@
 }
 
 impl Gateway {
-    /// Leaves gracefully within the time that the settings allow; true if nothing was cut off.
+    /// Shuts down within the grace period of the settings. Returns true if no open call was cut off.
     pub(crate) async fn shut_down(self: &Rc<Self>) -> bool {
         let start = Instant::now();
         let end = start + self.settings.grace().saturating_sub(EXIT_MARGIN);
-        let named_until = start + NEWS_TIME + self.settings.address_keep() * KEEP_FACTOR;
+        let advertised_until =
+            start + LEAVE_PROPAGATION_DELAY + self.settings.address_ttl() * ADDRESS_TTL_FACTOR;
         log::info!("event=stop_begun open_calls={}", self.open_calls.get());
         self.stop.enter(StopPhase::Draining);
         self.members.leave();
-        sleep(IDLE_CLOSE).await;
+        sleep(IDLE_CLOSE_DELAY).await;
         self.stop.enter(StopPhase::ClosingIdle);
-        sleep_until(named_until.min(end)).await;
+        sleep_until(advertised_until.min(end)).await;
         self.stop.enter(StopPhase::Refusing);
         let finished = timeout_at(end, self.calls_finished()).await.is_ok();
         let _ = timeout_at(end, self.turns.give_back_allowances()).await;
-        sleep(LINGER).await;
+        sleep(FLUSH_DELAY).await;
         log::info!(
             "event=stop_ended finished={finished} open_calls={} ms={}",
             self.open_calls.get(),
