--- a/src/gateway/http/caller.rs
+++ b/src/gateway/http/caller.rs
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, timeout_at};
 use tokio_util::codec::{Decoder, Encoder};
 
-use super::{codec_config, watch_peer};
+use super::{codec_config, detect_dead_peer};
 use crate::core::routing::CallerLimits;
 
 /// Bytes of further requests that are read while one is answered.
@@ -82,7 +82,7 @@
 
 /// Prepares an accepted connection.
 pub(crate) fn split_caller(stream: TcpStream) -> (CallerReader, CallerWriter) {
-    watch_peer(&stream);
+    detect_dead_peer(&stream);
     let codec = Rc::new(RefCell::new(Codec::new(codec_config())));
     let (reader, writer) = stream.into_split();
     (
--- a/src/gateway/http/mod.rs
+++ b/src/gateway/http/mod.rs
@@ -1,8 +1,7 @@
-//! HTTP/1.1 as the gateway needs it: every connection's state is in its own hands.
+//! HTTP/1.1 connections of callers, upstreams, peers and the store, on top of the `actix-http` codec.
 //!
-//! The codec is the library's. Its dispatcher and its client pool are not used, because they hide
-//! what decides here: whether a caller has left, which connection an attempt took, and whether
-//! bytes follow an answer.
+//! The library's dispatcher and client pool are not used: they hide whether a caller has
+//! disconnected, which connection an attempt used, and whether bytes follow a response.
 
 mod caller;
 mod pool;
@@ -20,19 +19,16 @@
 pub(crate) use pool::{ConnectionPool, ExchangeError};
 pub(crate) use upstream::{AnswerError, UpstreamConnection};
 
-/// A peer that does not acknowledge bytes for so long is given up. Links take a few
-/// milliseconds; a machine that is slow or loses packets repeats within a second.
-const UNACKED_LIMIT: Duration = Duration::from_millis(1_500);
-/// Idle time before the first probe, and between probes; the kernel counts in whole seconds.
+/// Limit for sent bytes to be acknowledged; leaves time for a retransmission.
+const UNACKED_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Idle time before the first keep-alive probe and between probes; the kernel uses whole seconds.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Unanswered probes after which a peer is given up.
+/// Unanswered probes after which the connection is closed.
 const PROBE_RETRIES: u32 = 2;
 
-/// Makes a connection notice a peer that is gone without a word.
-///
-/// A machine without power, or something on the way that forgot the connection, sends no reset:
-/// without these the caller would wait until its deadline.
-pub(crate) fn watch_peer(stream: &TcpStream) {
+/// Enables the detection of peers that disappear without a reset, as after a power loss or a
+/// dropped NAT entry. Without it, a call would wait until its deadline.
+pub(crate) fn detect_dead_peer(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new()
         .with_time(PROBE_INTERVAL)
@@ -41,14 +37,14 @@
     let set = stream
         .set_nodelay(true)
         .and_then(|()| socket.set_tcp_keepalive(&probes))
-        .and_then(|()| socket.set_tcp_user_timeout(Some(UNACKED_LIMIT)));
+        .and_then(|()| socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT)));
     if let Err(error) = set {
         log::warn!("event=socket_option_refused error=\"{error}\"");
     }
 }
 
 thread_local! {
-    /// One for all codecs of the thread: each of its own would run a timer for the date.
+    /// Shared by all codecs of the thread, since each configuration runs a timer for the date.
     static CODEC_CONFIG: ServiceConfig = ServiceConfig::default();
 }
 
--- a/src/gateway/http/pool.rs
+++ b/src/gateway/http/pool.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 
-use super::{AnswerError, UpstreamConnection, watch_peer};
+use super::{AnswerError, UpstreamConnection, detect_dead_peer};
 use crate::gateway::latency::LatencyEstimate;
 
 /// Longest time for a connection: a lost opening packet is repeated only after a second.
@@ -132,7 +132,7 @@
         let mut usual = self.usual_connect.get();
         usual.record_since(begun);
         self.usual_connect.set(usual);
-        watch_peer(&stream);
+        detect_dead_peer(&stream);
         Ok(UpstreamConnection::new(stream))
     }
 
