--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -189,7 +189,7 @@
             last.as_deref().unwrap_or("-")
         );
         // Where nothing has left, the caller gets the headers of the upstream that answers.
-        if writer.take_back() && self.start_answer(&next, writer).is_err() {
+        if writer.discard_unsent() && self.start_answer(&next, writer).is_err() {
             return Err(next.choice.id);
         }
         Ok(next)
@@ -234,7 +234,7 @@
 
     /// An answer that broke off is cut visibly, or answered as lost if nothing of it was sent.
     async fn end_broken(&self, upstream: UpstreamId, writer: &mut CallerWriter) -> CallEnd {
-        if writer.take_back() {
+        if writer.discard_unsent() {
             let refusal = Refusal::unknown(StatusCode::BAD_GATEWAY, "answer_broken");
             return self.end_refused(&refusal, writer).await;
         }
--- a/src/gateway/http/caller.rs
+++ b/src/gateway/http/caller.rs
@@ -1,4 +1,4 @@
-//! A caller's connection, split so that its end is seen while an answer is written.
+//! Connection of a caller, split so that a disconnect is noticed while a response is written.
 
 use std::cell::RefCell;
 use std::io;
@@ -21,13 +21,13 @@
 use super::{codec_config, detect_dead_peer};
 use crate::core::routing::CallerLimits;
 
-/// Bytes of further requests that are read while one is answered.
+/// Limit for pipelined input that is buffered while a request is served.
 const MAX_READ_AHEAD: usize = 64 * 1024;
 
 /// A request whose body has not been read yet.
 pub(crate) struct CallerRequest {
     pub(crate) method: Method,
-    /// Path and query as they came.
+    /// Path and query, not normalized.
     pub(crate) target: Box<str>,
     pub(crate) host: Box<str>,
     pub(crate) headers: HeaderMap,
@@ -36,51 +36,46 @@
 }
 
 impl CallerRequest {
-    /// The path without the query.
     pub(crate) fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
 }
 
-/// Why no request was read.
 #[derive(Debug, Display, Error, From)]
 pub(crate) enum ReadError {
-    /// The connection ended between requests, or stayed idle for too long.
-    #[display("the connection ended")]
+    /// Closed by the caller, or idle for too long.
+    #[display("connection closed")]
     Ended,
-    #[display("the connection broke: {_0}")]
+    #[display("connection failed: {_0}")]
     Broken(io::Error),
-    #[display("the request is malformed: {_0}")]
+    #[display("malformed request: {_0}")]
     Malformed(ParseError),
-    #[display("the head is larger than {limit} bytes")]
+    #[display("request head exceeds {limit} bytes")]
     #[from(skip)]
     HeadTooLarge { limit: usize },
-    #[display("the body is larger than {limit} bytes")]
+    #[display("request body exceeds {limit} bytes")]
     #[from(skip)]
     BodyTooLarge { limit: usize },
-    #[display("the request did not come in time")]
-    Late,
+    #[display("request not received in time")]
+    TimedOut,
 }
 
 type SharedCodec = Rc<RefCell<Codec>>;
 
-/// The reading side.
 pub(crate) struct CallerReader {
     half: OwnedReadHalf,
     buffer: BytesMut,
     codec: SharedCodec,
-    /// Whether the request read last has more to come.
+    /// True while part of the last request has not been read.
     unread: bool,
 }
 
-/// The writing side.
 pub(crate) struct CallerWriter {
     half: OwnedWriteHalf,
     buffer: BytesMut,
     codec: SharedCodec,
 }
 
-/// Prepares an accepted connection.
 pub(crate) fn split_caller(stream: TcpStream) -> (CallerReader, CallerWriter) {
     detect_dead_peer(&stream);
     let codec = Rc::new(RefCell::new(Codec::new(codec_config())));
@@ -92,7 +87,7 @@
 }
 
 impl CallerReader {
-    /// Waits for the first byte of a request; an error if none comes.
+    /// Waits up to `idle` for the first byte of a request.
     pub(crate) async fn wait(&mut self, idle: Duration) -> Result<(), ReadError> {
         if !self.buffer.is_empty() {
             return Ok(());
@@ -105,20 +100,20 @@
         }
     }
 
-    /// Whether part of a next request has come.
+    /// True if part of the next request is buffered.
     pub(crate) fn has_input(&self) -> bool {
         !self.buffer.is_empty()
     }
 
     /// Reads the head of the next request.
     pub(crate) async fn head(&mut self, limits: &CallerLimits) -> Result<CallerRequest, ReadError> {
-        let late = Instant::now() + limits.header_timeout;
+        let deadline = Instant::now() + limits.header_timeout;
         self.unread = true;
         loop {
             let size = self.buffer.len();
             let decoded = self.codec.borrow_mut().decode(&mut self.buffer)?;
             if let Some(Message::Item(request)) = decoded {
-                // What the codec took off the buffer is the head.
+                // The codec has consumed exactly the head.
                 if size - self.buffer.len() > limits.header_bytes {
                     return Err(ReadError::HeadTooLarge { limit: limits.header_bytes });
                 }
@@ -129,7 +124,7 @@
             if self.buffer.len() > limits.header_bytes {
                 return Err(ReadError::HeadTooLarge { limit: limits.header_bytes });
             }
-            self.fill(late).await?;
+            self.fill(deadline).await?;
         }
     }
 
@@ -138,7 +133,7 @@
         let has_body = match kind {
             MessageType::None => false,
             MessageType::Payload => true,
-            // A connection that becomes a tunnel could carry requests past the checks here.
+            // After an upgrade, requests could bypass the checks of the gateway.
             MessageType::Stream => return Err(ParseError::Header.into()),
         };
         let head = request.head();
@@ -155,13 +150,13 @@
         })
     }
 
-    /// Reads the body of the request whose head was read last.
+    /// Reads the body of the request that `head` returned.
     pub(crate) async fn body(
         &mut self,
         request: &CallerRequest,
         writer: &mut CallerWriter,
         limit: usize,
-        late: Instant,
+        deadline: Instant,
     ) -> Result<Bytes, ReadError> {
         if !request.has_body {
             return Ok(Bytes::new());
@@ -181,17 +176,17 @@
                     self.unread = false;
                     return Ok(body.freeze());
                 }
-                None => self.fill(late).await?,
+                None => self.fill(deadline).await?,
             }
         }
     }
 
-    /// Whether a request was refused before all of it was read.
+    /// True if the last request was answered before all of it was read.
     pub(crate) fn is_unread(&self) -> bool {
         self.unread
     }
 
-    /// Reads what is still on its way and drops it, until the caller closes.
+    /// Reads and drops input until the caller closes the connection.
     pub(crate) async fn discard(&mut self) {
         loop {
             self.buffer.clear();
@@ -201,17 +196,17 @@
         }
     }
 
-    async fn fill(&mut self, late: Instant) -> Result<(), ReadError> {
-        let read = timeout_at(late, self.half.read_buf(&mut self.buffer)).await;
+    async fn fill(&mut self, deadline: Instant) -> Result<(), ReadError> {
+        let read = timeout_at(deadline, self.half.read_buf(&mut self.buffer)).await;
         match read {
-            Err(_) => Err(ReadError::Late),
+            Err(_) => Err(ReadError::TimedOut),
             Ok(Ok(0)) => Err(ReadError::Ended),
             Ok(Ok(_)) => Ok(()),
             Ok(Err(error)) => Err(error.into()),
         }
     }
 
-    /// Ends when the caller has left. What it sends meanwhile is kept for later.
+    /// Completes when the caller disconnects. Input is buffered for the next request.
     pub(crate) async fn closed(&mut self) {
         while self.buffer.len() < MAX_READ_AHEAD {
             match self.half.read_buf(&mut self.buffer).await {
@@ -224,14 +219,14 @@
 }
 
 impl CallerWriter {
-    /// Says that nothing more will be written.
+    /// Shuts down the write half.
     pub(crate) async fn shut_down(&mut self) {
-        // A caller that has gone needs no farewell.
+        // Fails if the caller has disconnected already.
         let _ = self.half.shutdown().await;
     }
 
-    /// Starts an answer whose end is not known yet. The head leaves with the first bytes of the
-    /// body; until then another answer may take its place.
+    /// Starts a response of unknown length. The head is sent with the first bytes of the body;
+    /// until then, `discard_unsent` can revoke the response.
     pub(crate) fn start(
         &mut self,
         status: StatusCode,
@@ -242,8 +237,8 @@
         self.encode_head(status, headers, bodiless.then_some(0), close)
     }
 
-    /// Takes back an answer that was started but not sent; false if part of it has left.
-    pub(crate) fn take_back(&mut self) -> bool {
+    /// Discards a response that was started. Returns false if part of it has been sent.
+    pub(crate) fn discard_unsent(&mut self) -> bool {
         let unsent = !self.buffer.is_empty();
         self.buffer.clear();
         unsent
@@ -266,7 +261,7 @@
         codec.encode(Message::Item((response, size)), &mut self.buffer)
     }
 
-    /// Sends a whole answer.
+    /// Sends a complete response.
     pub(crate) async fn answer(
         &mut self,
         status: StatusCode,
@@ -279,13 +274,12 @@
         self.finish().await
     }
 
-    /// Sends a part of the body.
     pub(crate) async fn chunk(&mut self, chunk: Bytes) -> io::Result<()> {
         self.codec.borrow_mut().encode(Message::Chunk(Some(chunk)), &mut self.buffer)?;
         self.flush().await
     }
 
-    /// Ends the body; without this the answer is visibly incomplete.
+    /// Ends the body. Without it, the caller can tell that the response is incomplete.
     pub(crate) async fn finish(&mut self) -> io::Result<()> {
         self.codec.borrow_mut().encode(Message::Chunk(None), &mut self.buffer)?;
         self.flush().await
@@ -297,7 +291,6 @@
         Ok(())
     }
 
-    /// Whether the connection may carry another request after the last answer.
     pub(crate) fn keeps_alive(&self) -> bool {
         self.codec.borrow().keep_alive()
     }
--- a/src/gateway/refusal.rs
+++ b/src/gateway/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway's own.
+//! Error responses that the gateway itself generates.
 
 use std::time::Duration;
 
@@ -8,29 +8,28 @@
 
 use super::http::ReadError;
 
-/// A final answer that no upstream gave.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Refusal {
     pub(crate) status: StatusCode,
-    /// One word for logs, metrics and the caller.
+    /// Identifier for logs, metrics and the caller.
     pub(crate) reason: &'static str,
-    /// When to ask again; only where the request did not run and never will.
+    /// Set only if the request did not run and will not run.
     pub(crate) retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// The request did not run and may be sent again after `wait`.
+    /// The request did not run and may be retried after `wait`.
     pub(crate) fn not_run(reason: &'static str, wait: Duration) -> Self {
         Self { status: StatusCode::SERVICE_UNAVAILABLE, reason, retry_after: Some(wait) }
     }
 
-    /// Asking again changes nothing.
+    /// A retry of the same request would fail as well.
     pub(crate) fn rejected(status: StatusCode, reason: &'static str) -> Self {
         Self { status, reason, retry_after: None }
     }
 
-    /// The workspace has asked more than its limit: the request did not run, and there is room for it
-    /// after `wait`.
+    /// The request did not run because its workspace is over its limit; `wait` is the time until
+    /// the limit allows it.
     pub(crate) fn over_quota(wait: Duration) -> Self {
         let status = StatusCode::TOO_MANY_REQUESTS;
         Self { status, reason: "over_quota", retry_after: Some(wait) }
@@ -41,7 +40,7 @@
         Self { status, reason, retry_after: None }
     }
 
-    /// What a request that could not be read is answered; none if nobody waits for an answer.
+    /// None if the caller has disconnected.
     pub(crate) fn unreadable(error: &ReadError) -> Option<Self> {
         let (status, reason) = match error {
             ReadError::Ended | ReadError::Broken(_) => return None,
@@ -50,7 +49,7 @@
                 (StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "head_too_large")
             }
             ReadError::BodyTooLarge { .. } => (StatusCode::PAYLOAD_TOO_LARGE, "body_too_large"),
-            ReadError::Late => (StatusCode::REQUEST_TIMEOUT, "request_too_slow"),
+            ReadError::TimedOut => (StatusCode::REQUEST_TIMEOUT, "request_too_slow"),
         };
         Some(Self::rejected(status, reason))
     }
