--- a/src/gateway/http/pool.rs
+++ b/src/gateway/http/pool.rs
@@ -1,4 +1,4 @@
-//! Connections that wait for their next request, by address.
+//! Pool of idle connections to upstreams, peers and the store.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -14,106 +14,103 @@
 use super::{AnswerError, UpstreamConnection, detect_dead_peer};
 use crate::gateway::latency::LatencyEstimate;
 
-/// Longest time for a connection: a lost opening packet is repeated only after a second.
+/// Shorter than the retransmission timeout of a lost SYN, so a retry is faster than waiting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Shortest time for one where another upstream can be tried instead, and its multiple of the usual time.
-const CONNECT_MIN: Duration = Duration::from_millis(40);
-const CONNECT_FACTOR: f64 = 8.0;
-/// Share of the newest connection in the usual time.
-const CONNECT_SHARE: f64 = 0.125;
-/// How long ago a kept connection may have carried an answer to be given another request. A peer that is
-/// gone without a word is noticed seconds later; what was sent to it meanwhile waits for nothing, and may
-/// not be sent again if it must not run twice.
-const PROVEN_FOR: Duration = Duration::from_secs(1);
-/// Usual time between two uses of a connection above which that is asked for. Where connections are used
-/// more often, an upstream that is gone is found out by a few requests and avoided by the others.
-const RARE_USE: Duration = Duration::from_millis(1_500);
-/// The usual time before any was seen: an instance with few requests would learn it too late.
-const EXPECTED_IDLE: Duration = Duration::from_secs(3);
-/// Share of the newest idle time in the usual one.
-const IDLE_SHARE: f64 = 0.02;
-/// Idle time allowed where the peer names none; common servers close after five seconds.
-const DEFAULT_KEEP: Duration = Duration::from_secs(4);
-/// Subtracted from the time the peer names, so that no request meets its close.
-const KEEP_MARGIN: Duration = Duration::from_millis(700);
-/// Idle connections kept for an address; bursts beyond that open anew.
-const MAX_IDLE: usize = 12;
-/// Largest answer that is read as a whole: the store's largest page, encoded.
-const MAX_WHOLE: usize = 4 * 1024 * 1024;
-
-/// Why there is no connection. No byte of a request has left.
+/// Minimum connect timeout if another upstream can be tried instead.
+const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(40);
+/// That timeout as a multiple of the mean connect time.
+const CONNECT_TIMEOUT_FACTOR: f64 = 8.0;
+const CONNECT_TIME_WEIGHT: f64 = 0.125;
+/// Maximum time since the last response on an idle connection for its reuse by rarely used
+/// upstreams. A dead peer is detected seconds later, and a request that was sent to it by then
+/// cannot be retried if it must not run twice.
+const MAX_REUSE_AGE: Duration = Duration::from_secs(1);
+/// Mean idle time above which connections count as rarely used. With more frequent use, few
+/// requests are lost to a dead upstream before it is ejected.
+const RARE_USE_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Initial mean idle time, above `RARE_USE_INTERVAL` so that an instance with few requests starts
+/// out careful.
+const INITIAL_IDLE_TIME: Duration = Duration::from_secs(3);
+const IDLE_TIME_WEIGHT: f64 = 0.02;
+/// Keep-alive time if the peer announces none; below the default of common servers.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
+/// Subtracted from the announced time, so that no request races with the close by the peer.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
+/// Maximum number of idle connections per address.
+const MAX_IDLE_CONNECTIONS: usize = 12;
+/// Fits the largest page of the store, encoded.
+const MAX_EXCHANGE_BODY: usize = 4 * 1024 * 1024;
+
+/// No byte of the request has been sent.
 #[derive(Debug, Display, Error, From)]
 pub(crate) enum ConnectError {
-    #[display("'{address}' is no address")]
+    #[display("'{address}' is not a socket address")]
     #[from(skip)]
     BadAddress { address: Box<str> },
     #[display("cannot connect: {_0}")]
     Refused(std::io::Error),
-    #[display("cannot connect in time")]
-    Late,
+    #[display("connect timed out")]
+    TimedOut,
 }
 
-/// Why an exchange has no answer.
+/// Only `NotSent` guarantees that the request did not run.
 #[derive(Debug, Display, Error, From)]
 pub(crate) enum ExchangeError {
     #[display("{_0}")]
     NotSent(ConnectError),
     #[display("{_0}")]
     Lost(AnswerError),
-    #[display("the answer did not come in time")]
-    Late,
+    #[display("no response in time")]
+    TimedOut,
 }
 
 struct IdleConnection {
     connection: UpstreamConnection,
-    until: Instant,
-    /// When it last carried an answer.
-    used: Instant,
+    expires_at: Instant,
+    /// Time of the last response.
+    used_at: Instant,
 }
 
-/// All idle connections of an instance.
 pub(crate) struct ConnectionPool {
     idle: RefCell<HashMap<Box<str>, Vec<IdleConnection>>>,
-    usual_connect: Cell<LatencyEstimate>,
-    /// How long connections have been idle when their upstream gets a request.
-    usual_idle: Cell<LatencyEstimate>,
+    connect_time: Cell<LatencyEstimate>,
+    /// Idle time of connections when their upstream gets a request.
+    idle_time: Cell<LatencyEstimate>,
 }
 
 impl Default for ConnectionPool {
     fn default() -> Self {
-        let usual_connect = Cell::new(LatencyEstimate::new(CONNECT_SHARE));
-        let usual_idle = Cell::new(LatencyEstimate::new(IDLE_SHARE).with_initial(EXPECTED_IDLE));
-        Self { idle: RefCell::default(), usual_connect, usual_idle }
+        let connect_time = Cell::new(LatencyEstimate::new(CONNECT_TIME_WEIGHT));
+        let idle_time =
+            Cell::new(LatencyEstimate::new(IDLE_TIME_WEIGHT).with_initial(INITIAL_IDLE_TIME));
+        Self { idle: RefCell::default(), connect_time, idle_time }
     }
 }
 
 impl ConnectionPool {
-    /// A kept connection that is still good; the one used last comes first.
+    /// Takes an open idle connection, the most recently used one first.
     pub(crate) fn take(&self, address: &str) -> Option<UpstreamConnection> {
         self.take_used_since(address, None)
     }
 
-    /// A kept connection that carried an answer since then.
     fn take_used_since(&self, address: &str, since: Option<Instant>) -> Option<UpstreamConnection> {
         let mut idle = self.idle.borrow_mut();
-        let waiting = idle.get_mut(address)?;
+        let connections = idle.get_mut(address)?;
         let now = Instant::now();
         while let Some(mut candidate) =
-            waiting.pop_if(|candidate| since.is_none_or(|since| candidate.used >= since))
+            connections.pop_if(|candidate| since.is_none_or(|since| candidate.used_at >= since))
         {
-            if now < candidate.until && candidate.connection.is_quiet() {
+            if now < candidate.expires_at && candidate.connection.is_open_and_idle() {
                 return Some(candidate.connection);
             }
         }
         None
     }
 
-    /// Whether a connection to an address is kept.
     pub(crate) fn has_idle(&self, address: &str) -> bool {
-        self.idle.borrow().get(address).is_some_and(|waiting| !waiting.is_empty())
+        self.idle.borrow().get(address).is_some_and(|connections| !connections.is_empty())
     }
 
-    /// Opens a connection.
     pub(crate) async fn connect(&self, address: &str) -> Result<UpstreamConnection, ConnectError> {
         self.connect_within(address, CONNECT_TIMEOUT).await
     }
@@ -121,41 +118,41 @@
     async fn connect_within(
         &self,
         address: &str,
-        patience: Duration,
+        limit: Duration,
     ) -> Result<UpstreamConnection, ConnectError> {
         let parsed: SocketAddr =
             address.parse().map_err(|_| ConnectError::BadAddress { address: address.into() })?;
-        let begun = Instant::now();
-        let stream = timeout(patience, TcpStream::connect(parsed))
+        let started = Instant::now();
+        let stream = timeout(limit, TcpStream::connect(parsed))
             .await
-            .map_err(|_| ConnectError::Late)??;
-        let mut usual = self.usual_connect.get();
-        usual.record_since(begun);
-        self.usual_connect.set(usual);
+            .map_err(|_| ConnectError::TimedOut)??;
+        let mut connect_time = self.connect_time.get();
+        connect_time.record_since(started);
+        self.connect_time.set(connect_time);
         detect_dead_peer(&stream);
         Ok(UpstreamConnection::new(stream))
     }
 
-    /// A connection for a request that may still go elsewhere: an upstream that does not take one in a
-    /// multiple of the usual time is left for the next, with more patience after each that was tried.
-    pub(crate) async fn get_proven(
+    /// Returns a new or recently used connection for a request that can fail over to another
+    /// upstream. The connect timeout doubles with each upstream that was `tried` before.
+    pub(crate) async fn get_fresh(
         &self,
         address: &str,
         tried: u32,
     ) -> Result<UpstreamConnection, ConnectError> {
-        self.note_idle(address);
-        let rare = self.usual_idle.get().mean() > RARE_USE;
-        let since = Instant::now().checked_sub(PROVEN_FOR).filter(|_| rare);
+        self.record_idle_time(address);
+        let is_rare = self.idle_time.get().mean() > RARE_USE_INTERVAL;
+        let since = Instant::now().checked_sub(MAX_REUSE_AGE).filter(|_| is_rare);
         if let Some(connection) = self.take_used_since(address, since) {
             return Ok(connection);
         }
-        let usual = self.usual_connect.get();
-        let least = usual.scaled(CONNECT_FACTOR, CONNECT_MIN, CONNECT_TIMEOUT);
-        let patience = least * 2_u32.saturating_pow(tried.min(4));
-        self.connect_within(address, patience.min(CONNECT_TIMEOUT)).await
+        let connect_time = self.connect_time.get();
+        let first_limit =
+            connect_time.scaled(CONNECT_TIMEOUT_FACTOR, MIN_CONNECT_TIMEOUT, CONNECT_TIMEOUT);
+        let limit = first_limit * 2_u32.saturating_pow(tried.min(4));
+        self.connect_within(address, limit.min(CONNECT_TIMEOUT)).await
     }
 
-    /// A kept connection or a new one.
     pub(crate) async fn get(&self, address: &str) -> Result<UpstreamConnection, ConnectError> {
         match self.take(address) {
             Some(connection) => Ok(connection),
@@ -163,49 +160,57 @@
         }
     }
 
-    fn note_idle(&self, address: &str) {
+    fn record_idle_time(&self, address: &str) {
         let idle = self.idle.borrow();
-        let Some(newest) = idle.get(address).and_then(|waiting| waiting.last()) else { return };
-        let mut usual = self.usual_idle.get();
-        usual.record_since(newest.used);
-        self.usual_idle.set(usual);
+        let Some(newest) = idle.get(address).and_then(|connections| connections.last()) else {
+            return;
+        };
+        let mut idle_time = self.idle_time.get();
+        idle_time.record_since(newest.used_at);
+        self.idle_time.set(idle_time);
     }
 
-    /// Keeps a connection for later if it is good for it.
+    /// Returns a connection to the pool, or closes it if it cannot be reused.
     pub(crate) fn put(
         &self,
         address: &str,
         connection: UpstreamConnection,
-        keep: Option<Duration>,
+        keep_alive: Option<Duration>,
     ) {
-        let keep = keep.map_or(DEFAULT_KEEP, |keep| keep.saturating_sub(KEEP_MARGIN));
-        if !connection.is_reusable() || keep.is_zero() {
+        let keep_alive = keep_alive
+            .map_or(DEFAULT_KEEP_ALIVE, |announced| announced.saturating_sub(KEEP_ALIVE_MARGIN));
+        if !connection.is_reusable() || keep_alive.is_zero() {
             return;
         }
         let mut idle = self.idle.borrow_mut();
-        let waiting = idle.entry(address.into()).or_default();
-        if waiting.len() < MAX_IDLE {
+        let connections = idle.entry(address.into()).or_default();
+        if connections.len() < MAX_IDLE_CONNECTIONS {
             let now = Instant::now();
-            waiting.push(IdleConnection { connection, until: now + keep, used: now });
+            connections.push(IdleConnection {
+                connection,
+                expires_at: now + keep_alive,
+                used_at: now,
+            });
         }
     }
 
-    /// Closes connections that have waited too long or whose peer has closed.
+    /// Closes connections that have expired or were closed by the peer.
     pub(crate) fn prune(&self) {
         let now = Instant::now();
-        self.idle.borrow_mut().retain(|_, waiting| {
-            waiting.retain_mut(|idle| now < idle.until && idle.connection.is_quiet());
-            !waiting.is_empty()
+        self.idle.borrow_mut().retain(|_, connections| {
+            connections
+                .retain_mut(|idle| now < idle.expires_at && idle.connection.is_open_and_idle());
+            !connections.is_empty()
         });
     }
 
-    /// Closes all idle connections to an address: what has forgotten one of them may have
-    /// forgotten the others, and a retry must not meet them.
-    pub(crate) fn forget(&self, address: &str) {
+    /// Closes all idle connections to an address. After one has failed, a retry must not use
+    /// another one that may be dead as well.
+    pub(crate) fn close_idle(&self, address: &str) {
         self.idle.borrow_mut().remove(address);
     }
 
-    /// Sends a request and reads the whole answer within `limit`.
+    /// Sends a request and reads the complete response within `limit`.
     pub(crate) async fn exchange(
         &self,
         address: &str,
@@ -219,13 +224,13 @@
             let mut connection = self.get(address).await?;
             connection.request(head, body)?;
             let head = connection.head().await?;
-            let answer = connection.rest(MAX_WHOLE).await?;
+            let answer = connection.rest(MAX_EXCHANGE_BODY).await?;
             self.put(address, connection, None);
             Ok((head.status, answer))
         };
-        let result = timeout(limit, exchange).await.unwrap_or(Err(ExchangeError::Late));
+        let result = timeout(limit, exchange).await.unwrap_or(Err(ExchangeError::TimedOut));
         if result.is_err() {
-            self.forget(address);
+            self.close_idle(address);
         }
         result
     }
--- a/src/gateway/http/pool_tests.rs
+++ b/src/gateway/http/pool_tests.rs
@@ -1,4 +1,4 @@
-//! Which connection a request gets.
+//! Tests of the connection pool.
 
 use std::time::Duration;
 
@@ -8,56 +8,56 @@
 
 use super::pool::ConnectionPool;
 
-/// Guards against a request on a connection whose peer may be gone.
+/// Guards against sending a request on an idle connection whose peer may be dead.
 #[actix_rt::test]
-async fn a_rarely_used_connection_is_proven_first() {
+async fn stale_connection_is_not_reused_when_use_is_rare() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("it is bound").to_string();
     let pool = ConnectionPool::default();
-    let first = pool.get_proven(&address, 0).await.expect("it connects");
-    let _accepted = listener.accept().await.expect("it comes");
+    let first = pool.get_fresh(&address, 0).await.expect("connects");
+    let _accepted = listener.accept().await.expect("connection arrives");
     pool.put(&address, first, None);
     pause();
     advance(Duration::from_millis(900)).await;
-    let soon = pool.get_proven(&address, 0).await.expect("it is kept");
-    pool.put(&address, soon, None);
+    let recent = pool.get_fresh(&address, 0).await.expect("connection is pooled");
+    pool.put(&address, recent, None);
     advance(Duration::from_millis(1_100)).await;
     tokio::time::resume();
-    let _late = pool.get_proven(&address, 0).await.expect("it connects");
-    listener.accept().await.expect("a second one comes");
-    assert!(pool.has_idle(&address), "the first one was not used");
+    let _replacement = pool.get_fresh(&address, 0).await.expect("connects");
+    listener.accept().await.expect("a new connection arrives");
+    assert!(pool.has_idle(&address), "the stale connection is still in the pool");
 }
 
-/// Guards against new connections where the kept ones are in use all the time.
+/// Guards against needless reconnects while pooled connections are in frequent use.
 #[actix_rt::test]
-async fn a_connection_in_frequent_use_is_good_enough() {
+async fn stale_connection_is_reused_when_use_is_frequent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("it is bound").to_string();
     let pool = ConnectionPool::default();
-    let mut connection = pool.get_proven(&address, 0).await.expect("it connects");
-    let _accepted = listener.accept().await.expect("it comes");
+    let mut connection = pool.get_fresh(&address, 0).await.expect("connects");
+    let _accepted = listener.accept().await.expect("connection arrives");
     pause();
     for _ in 0..100 {
         pool.put(&address, connection, None);
         advance(Duration::from_millis(200)).await;
-        connection = pool.get_proven(&address, 0).await.expect("it is kept");
+        connection = pool.get_fresh(&address, 0).await.expect("connection is pooled");
     }
     pool.put(&address, connection, None);
     advance(Duration::from_millis(1_100)).await;
-    pool.get_proven(&address, 0).await.expect("it is kept");
+    pool.get_fresh(&address, 0).await.expect("connection is pooled");
     assert!(!pool.has_idle(&address));
 }
 
-/// Guards against a request that waits for a machine without power though others could serve it.
+/// Guards against a call that waits for an unreachable upstream while others could serve it.
 #[actix_rt::test]
-async fn a_silent_upstream_is_left_for_the_next_soon() {
+async fn first_connect_timeout_is_short_and_grows_with_attempts() {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     let any: std::net::SocketAddr = "127.0.0.1:0".parse().expect("an address");
     socket.bind(&any.into()).expect("a free port");
     socket.listen(0).expect("it listens");
     let bound = socket.local_addr().expect("it is bound").as_socket().expect("it is IPv4");
-    // The kernel drops opening packets once its queue is full.
-    let _filling: Vec<_> = (0..4)
+    // The kernel drops SYN packets once the accept queue is full.
+    let _queue_fillers: Vec<_> = (0..4)
         .map(|_| {
             std::thread::spawn(move || {
                 std::net::TcpStream::connect_timeout(&bound, Duration::from_secs(1))
@@ -66,11 +66,11 @@
         .collect();
     tokio::time::sleep(Duration::from_millis(100)).await;
     let pool = ConnectionPool::default();
-    let patience = async |tried| {
-        let begun = Instant::now();
-        assert!(pool.get_proven(&bound.to_string(), tried).await.is_err());
-        begun.elapsed()
+    let connect_time = async |tried| {
+        let started = Instant::now();
+        assert!(pool.get_fresh(&bound.to_string(), tried).await.is_err());
+        started.elapsed()
     };
-    assert!(patience(0).await < Duration::from_millis(200));
-    assert!(patience(9).await >= Duration::from_millis(400));
+    assert!(connect_time(0).await < Duration::from_millis(200));
+    assert!(connect_time(9).await >= Duration::from_millis(400));
 }
--- a/src/gateway/http/upstream.rs
+++ b/src/gateway/http/upstream.rs
@@ -1,4 +1,4 @@
-//! One connection to an upstream, to the store or to a peer.
+//! Client connection to an upstream, the store or a peer.
 
 use std::io;
 
@@ -15,35 +15,34 @@
 
 use super::codec_config;
 
-/// Why an answer is missing or incomplete. The request may have run.
+/// The request may have run.
 #[derive(Debug, Display, Error, From)]
 pub(crate) enum AnswerError {
-    #[display("the connection ended before the answer did")]
+    #[display("connection closed before the end of the response")]
     Ended,
-    #[display("the connection broke: {_0}")]
+    #[display("connection failed: {_0}")]
     Broken(io::Error),
-    #[display("not an answer: {_0}")]
+    #[display("malformed response: {_0}")]
     Malformed(ParseError),
-    #[display("a broken body: {_0}")]
+    #[display("malformed response body: {_0}")]
     BadBody(PayloadError),
-    #[display("only answers to other requests came")]
+    #[display("response belongs to another request")]
     Foreign,
 }
 
-/// How the end of an answer's body shows.
 enum BodyState {
-    /// No answer, or its body has been read.
+    /// No response is being read, or its body is complete.
     Done,
     Framed(ClientPayloadCodec),
     /// The body ends with the connection.
     UntilEnd,
 }
 
-/// An open connection; it carries one request at a time.
+/// Carries one request at a time.
 pub(crate) struct UpstreamConnection {
     stream: TcpStream,
     input: BytesMut,
-    /// What of the request has not been sent yet. An upstream may answer before it has read all.
+    /// Unsent part of the request. An upstream may respond before it has read all of it.
     output: BytesMut,
     codec: Option<ClientCodec>,
     body: BodyState,
@@ -64,7 +63,7 @@
         }
     }
 
-    /// Queues a request; [`UpstreamConnection::head`] sends it.
+    /// Queues a request, which [`UpstreamConnection::head`] then sends.
     pub(crate) fn request(&mut self, head: RequestHead, body: Bytes) -> Result<(), AnswerError> {
         self.head_only = head.method == Method::HEAD;
         let bare = matches!(head.method, Method::GET | Method::HEAD | Method::DELETE);
@@ -79,7 +78,7 @@
         Ok(())
     }
 
-    /// Reads the head of the next answer.
+    /// Sends the queued request and reads the head of the response.
     pub(crate) async fn head(&mut self) -> Result<ResponseHead, AnswerError> {
         loop {
             let codec = self.codec.as_mut().expect("no answer is being read");
@@ -109,13 +108,13 @@
             self.codec = Some(codec);
             self.body = BodyState::Done;
         } else {
-            // The codec takes such an answer for one without a body.
+            // The codec treats such a response as one without a body.
             self.body = BodyState::UntilEnd;
             self.keep_alive = false;
         }
     }
 
-    /// The next part of the body; none at its end.
+    /// Returns none at the end of the body.
     pub(crate) async fn chunk(&mut self) -> Result<Option<Bytes>, AnswerError> {
         loop {
             match &mut self.body {
@@ -147,7 +146,7 @@
         }
     }
 
-    /// The rest of the body, up to `limit` bytes.
+    /// Reads the rest of the body; more than `limit` bytes are an error.
     pub(crate) async fn rest(&mut self, limit: usize) -> Result<Bytes, AnswerError> {
         let mut body = BytesMut::new();
         while let Some(chunk) = self.chunk().await? {
@@ -159,7 +158,7 @@
         Ok(body.freeze())
     }
 
-    /// Sends what is left of the request until something has been read; 0 at the end.
+    /// Sends the rest of the request until input arrives. Returns 0 at the end of the stream.
     async fn read_more(&mut self) -> io::Result<usize> {
         let (mut reader, mut writer) = self.stream.split();
         loop {
@@ -171,7 +170,7 @@
                 read = reader.read_buf(&mut self.input) => return read,
                 written = writer.write(&self.output) => match written {
                     Ok(count) => self.output.advance(count),
-                    // The upstream reads no more; its answer may have come all the same.
+                    // The upstream has stopped reading but may have sent a response.
                     Err(_) => {
                         self.output.clear();
                         self.keep_alive = false;
@@ -181,9 +180,7 @@
         }
     }
 
-    /// Whether the answer has ended and nothing speaks against another request.
-    ///
-    /// Bytes after an answer belong to no request; the next answer would be taken from them.
+    /// Excess bytes after a response prevent reuse, since they would be parsed as the next response.
     pub(crate) fn is_reusable(&self) -> bool {
         self.keep_alive
             && self.codec.is_some()
@@ -192,8 +189,8 @@
             && matches!(self.body, BodyState::Done)
     }
 
-    /// Whether an idle connection is still open and silent.
-    pub(crate) fn is_quiet(&mut self) -> bool {
+    /// True if the connection is open and no unexpected input has arrived.
+    pub(crate) fn is_open_and_idle(&mut self) -> bool {
         let mut byte = [0; 1];
         let read = self.stream.try_read(&mut byte);
         matches!(read, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
--- a/src/gateway/news/mod.rs
+++ b/src/gateway/news/mod.rs
@@ -287,7 +287,7 @@
 
     fn forget_left(&self, upstreams: &mut UpstreamTable) {
         for address in upstreams.take_stale_addresses() {
-            self.pool.forget(&address);
+            self.pool.close_idle(&address);
         }
     }
 }
--- a/src/gateway/store/ways.rs
+++ b/src/gateway/store/ways.rs
@@ -134,7 +134,7 @@
 
     async fn send_direct(&self, call: &StoreCall, fresh: bool, limit: Duration) -> StoreAnswer {
         if fresh {
-            self.pool.forget(&self.address);
+            self.pool.close_idle(&self.address);
         }
         let body = call.body.clone();
         let method = call.method.clone();
--- a/src/gateway/turns/coordinate.rs
+++ b/src/gateway/turns/coordinate.rs
@@ -189,7 +189,7 @@
                 );
                 match error {
                     ExchangeError::NotSent(_) => Err(PeerFailure::NotSent),
-                    ExchangeError::Lost(_) | ExchangeError::Late => Err(PeerFailure::Unknown),
+                    ExchangeError::Lost(_) | ExchangeError::TimedOut => Err(PeerFailure::Unknown),
                 }
             }
         }
