--- a/src/gateway/call/mod.rs
+++ b/src/gateway/call/mod.rs
@@ -113,11 +113,11 @@
             route: &call.route.name,
             outcome: end.outcome,
             elapsed,
-            first: end.first,
-            tries: log.tries.get(),
+            first_byte: end.first,
+            attempts: log.tries.get(),
             sent_after: log.sent_after.get(),
         };
-        self.metrics.call_ended(&sample);
+        self.metrics.record_call(&sample);
         log::info!(
             "event=call_ended request={} program={} route={} kind={} outcome={} status={} \
              upstream={} tries={} runs={} coordinator={} claimed_ms={} sent_ms={} first_ms={} \
@@ -155,7 +155,7 @@
             refusal.reason,
             arrived.elapsed().as_millis()
         );
-        self.metrics.refused(refusal.reason);
+        self.metrics.record_refusal(refusal.reason);
         // What is left of the body would be taken for the next request.
         self.send_refusal(refusal, writer, true).await
     }
@@ -208,7 +208,7 @@
     }
 
     async fn end_refused(&self, refusal: &Refusal, writer: &mut CallerWriter) -> CallEnd {
-        self.metrics.refused(refusal.reason);
+        self.metrics.record_refusal(refusal.reason);
         let keep = self.send_refusal(refusal, writer, false).await;
         let status = refusal.status.as_u16();
         CallEnd { outcome: refusal.reason, status, upstream: None, first: None, keep }
--- a/src/gateway/call/turn.rs
+++ b/src/gateway/call/turn.rs
@@ -182,7 +182,7 @@
         }
         let claimed = self.claim_through_outage(call, coordinator, claim, limit).await;
         log.claimed_after.set(Some(call.arrived.elapsed()));
-        self.metrics.reserved(match &claimed {
+        self.metrics.record_reservation(match &claimed {
             Ok(_) => "reserved",
             Err(ClaimError::Exhausted { .. }) => "exhausted",
             Err(ClaimError::NoSuchTurn) => "no_such_turn",
--- a/src/gateway/http/pool_tests.rs
+++ b/src/gateway/http/pool_tests.rs
@@ -12,7 +12,7 @@
 #[actix_rt::test]
 async fn stale_connection_is_not_reused_when_use_is_rare() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("it is bound").to_string();
+    let address = listener.local_addr().expect("listener is bound").to_string();
     let pool = ConnectionPool::default();
     let first = pool.get_fresh(&address, 0).await.expect("connects");
     let _accepted = listener.accept().await.expect("connection arrives");
@@ -32,7 +32,7 @@
 #[actix_rt::test]
 async fn stale_connection_is_reused_when_use_is_frequent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("it is bound").to_string();
+    let address = listener.local_addr().expect("listener is bound").to_string();
     let pool = ConnectionPool::default();
     let mut connection = pool.get_fresh(&address, 0).await.expect("connects");
     let _accepted = listener.accept().await.expect("connection arrives");
@@ -55,7 +55,7 @@
     let any: std::net::SocketAddr = "127.0.0.1:0".parse().expect("an address");
     socket.bind(&any.into()).expect("a free port");
     socket.listen(0).expect("it listens");
-    let bound = socket.local_addr().expect("it is bound").as_socket().expect("it is IPv4");
+    let bound = socket.local_addr().expect("listener is bound").as_socket().expect("it is IPv4");
     // The kernel drops SYN packets once the accept queue is full.
     let _queue_fillers: Vec<_> = (0..4)
         .map(|_| {
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -1,4 +1,4 @@
-//! What a gateway measures, as OpenTelemetry instruments.
+//! Metrics of a gateway, as OpenTelemetry instruments.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -11,13 +11,12 @@
 use crate::core::ids::WorkspaceId;
 use crate::util::meter::MeterExposition;
 
-/// Upper ends of the latency buckets, in seconds.
+/// Upper bounds of the latency buckets, in seconds.
 const LATENCY_BOUNDARIES: [f64; 10] = [0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0];
 
-/// Workspaces that have counters of their own at an instance; what others ask is counted together.
+/// Limits the values of the workspace label; further workspaces share `OTHER_WORKSPACES`.
 const MAX_WORKSPACES: usize = 200;
-/// Their name.
-const OTHERS: &str = "others";
+const OTHER_WORKSPACES: &str = "others";
 
 const SCOPE: &str = "merlinsaddle-gateway";
 
@@ -25,59 +24,62 @@
     meter.f64_histogram(name).with_boundaries(LATENCY_BOUNDARIES.to_vec()).build()
 }
 
-/// Calls of the store over the direct way, also those made for peers.
+/// Direct calls to the store, including those that are relayed for peers.
 pub(crate) struct StoreMeter {
     calls: Counter<u64>,
     bytes: Counter<u64>,
-    /// Time to the whole answer; a question for changes includes what the store holds it.
+    /// Time to the complete response, including the time for which the store holds a long poll.
     call_seconds: Histogram<f64>,
 }
 
 impl StoreMeter {
-    /// Notes the bytes of bodies that a call has sent and got.
-    pub(crate) fn moved(&self, kind: StoreCallKind, sent: usize, got: usize) {
+    /// Records the sizes of the request and response bodies.
+    pub(crate) fn record_bytes(&self, kind: StoreCallKind, sent: usize, received: usize) {
         let kind = KeyValue::new("kind", kind.to_string());
         self.bytes.add(sent as u64, &[kind.clone(), KeyValue::new("direction", "sent")]);
-        self.bytes.add(got as u64, &[kind, KeyValue::new("direction", "got")]);
+        self.bytes.add(received as u64, &[kind, KeyValue::new("direction", "got")]);
     }
 
-    pub(crate) fn call_ended(&self, kind: StoreCallKind, outcome: &'static str, elapsed: Duration) {
+    pub(crate) fn record_call(
+        &self,
+        kind: StoreCallKind,
+        outcome: &'static str,
+        elapsed: Duration,
+    ) {
         let kind = KeyValue::new("kind", kind.to_string());
         self.call_seconds.record(elapsed.as_secs_f64(), std::slice::from_ref(&kind));
         self.calls.add(1, &[kind, KeyValue::new("outcome", outcome)]);
     }
 }
 
-/// One call that has ended.
+/// Measurements of one completed call.
 pub(crate) struct CallSample<'a> {
     pub(crate) route: &'a str,
     pub(crate) outcome: &'static str,
     pub(crate) elapsed: Duration,
-    /// Time until the first byte of the body; none if there was none.
-    pub(crate) first: Option<Duration>,
-    pub(crate) tries: u32,
-    /// Time until it was first sent to an upstream; none if it was not.
+    /// Time to the first byte of the body; none without a body.
+    pub(crate) first_byte: Option<Duration>,
+    pub(crate) attempts: u32,
+    /// Time until it was first sent to an upstream; none if it was never sent.
     pub(crate) sent_after: Option<Duration>,
 }
 
-/// What is read off the gateway when its metrics are asked for.
+/// Values of the gauges at the time of a scrape.
 pub(crate) struct GatewaySample {
     pub(crate) members: u64,
     pub(crate) upstreams: u64,
-    /// Upstreams that are passed over after failures.
-    pub(crate) upstreams_aside: u64,
+    pub(crate) upstreams_ejected: u64,
     pub(crate) routes_version: u64,
-    /// Time since the routes were last read or confirmed.
+    /// Time since the routes were last read or confirmed to be current.
     pub(crate) routes_age: Duration,
     pub(crate) cached_bytes: u64,
     pub(crate) open_calls: u64,
-    /// Turns that hold tokens set aside, or wait for that.
+    /// Turns that hold a token reservation or wait for one.
     pub(crate) reservations: u64,
     pub(crate) store_batches: u64,
     pub(crate) store_outage: Duration,
 }
 
-/// The instruments of one gateway.
 pub(crate) struct GatewayMetrics {
     exposition: MeterExposition,
     calls: Counter<u64>,
@@ -88,15 +90,15 @@
     added_seconds: Histogram<f64>,
     members: Gauge<u64>,
     upstreams: Gauge<u64>,
-    upstreams_aside: Gauge<u64>,
+    upstreams_ejected: Gauge<u64>,
     routes_version: Gauge<u64>,
     routes_age_seconds: Gauge<f64>,
     cached_bytes: Gauge<u64>,
     open_calls: Gauge<u64>,
     reservations: Gauge<u64>,
     reserved: Counter<u64>,
-    quota_asks: Counter<u64>,
-    /// Time from a request's arrival until it had its place or was refused.
+    quota_requests: Counter<u64>,
+    /// Time from the arrival of a request until its permit was granted or refused.
     quota_seconds: Histogram<f64>,
     workspaces: RefCell<BTreeSet<WorkspaceId>>,
     store_batches: Gauge<u64>,
@@ -118,14 +120,14 @@
             added_seconds: histogram("gateway_added_seconds"),
             members: meter.u64_gauge("gateway_members").build(),
             upstreams: meter.u64_gauge("gateway_upstreams").build(),
-            upstreams_aside: meter.u64_gauge("gateway_upstreams_aside").build(),
+            upstreams_ejected: meter.u64_gauge("gateway_upstreams_aside").build(),
             routes_version: meter.u64_gauge("gateway_routes_version").build(),
             routes_age_seconds: meter.f64_gauge("gateway_routes_age_seconds").build(),
             cached_bytes: meter.u64_gauge("gateway_cached_bytes").build(),
             open_calls: meter.u64_gauge("gateway_open_calls").build(),
             reservations: meter.u64_gauge("gateway_open_reservations").build(),
             reserved: meter.u64_counter("gateway_reservations").build(),
-            quota_asks: meter.u64_counter("gateway_quota_asks").build(),
+            quota_requests: meter.u64_counter("gateway_quota_asks").build(),
             quota_seconds: histogram("gateway_quota_seconds"),
             workspaces: RefCell::default(),
             store_batches: meter.u64_gauge("gateway_store_batches").build(),
@@ -133,28 +135,28 @@
         }
     }
 
-    pub(crate) fn call_ended(&self, sample: &CallSample<'_>) {
+    pub(crate) fn record_call(&self, sample: &CallSample<'_>) {
         let route = KeyValue::new("route", sample.route.to_owned());
         let outcome = KeyValue::new("outcome", sample.outcome);
         self.calls.add(1, &[route.clone(), outcome]);
-        self.retries.add(sample.tries.saturating_sub(1).into(), std::slice::from_ref(&route));
+        self.retries.add(sample.attempts.saturating_sub(1).into(), std::slice::from_ref(&route));
         self.call_seconds.record(sample.elapsed.as_secs_f64(), std::slice::from_ref(&route));
-        if let Some(first) = sample.first {
-            self.first_byte_seconds.record(first.as_secs_f64(), std::slice::from_ref(&route));
+        if let Some(first_byte) = sample.first_byte {
+            self.first_byte_seconds.record(first_byte.as_secs_f64(), std::slice::from_ref(&route));
         }
-        if let Some(waited) = sample.sent_after {
-            self.added_seconds.record(waited.as_secs_f64(), &[route]);
+        if let Some(sent_after) = sample.sent_after {
+            self.added_seconds.record(sent_after.as_secs_f64(), &[route]);
         }
     }
 
-    pub(crate) fn refused(&self, reason: &'static str) {
+    pub(crate) fn record_refusal(&self, reason: &'static str) {
         self.refusals.add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    /// Notes what became of a request under its workspace's limit.
-    pub(crate) fn quota_asked(&self, workspace: &str, outcome: &'static str, elapsed: Duration) {
+    /// Records the outcome of a request for a permit under the workspace's limit.
+    pub(crate) fn record_quota(&self, workspace: &str, outcome: &'static str, elapsed: Duration) {
         let workspace = KeyValue::new("workspace", self.workspace_label(workspace));
-        self.quota_asks.add(1, &[workspace, KeyValue::new("outcome", outcome)]);
+        self.quota_requests.add(1, &[workspace, KeyValue::new("outcome", outcome)]);
         self.quota_seconds.record(elapsed.as_secs_f64(), &[]);
     }
 
@@ -162,18 +164,17 @@
         let mut workspaces = self.workspaces.borrow_mut();
         let known = workspaces.contains(workspace);
         if !known && workspaces.len() >= MAX_WORKSPACES {
-            return OTHERS.into();
+            return OTHER_WORKSPACES.into();
         }
         workspaces.insert(workspace.into());
         workspace.into()
     }
 
-    /// Notes whether tokens were set aside for a turn.
-    pub(crate) fn reserved(&self, outcome: &'static str) {
+    /// Records the outcome of a token reservation for a turn.
+    pub(crate) fn record_reservation(&self, outcome: &'static str) {
         self.reserved.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Instruments for calls of the store.
     pub(crate) fn store_meter(&self) -> StoreMeter {
         let meter = self.exposition.meter(SCOPE);
         StoreMeter {
@@ -186,7 +187,7 @@
     pub(crate) fn sample(&self, sample: &GatewaySample) {
         self.members.record(sample.members, &[]);
         self.upstreams.record(sample.upstreams, &[]);
-        self.upstreams_aside.record(sample.upstreams_aside, &[]);
+        self.upstreams_ejected.record(sample.upstreams_ejected, &[]);
         self.routes_version.record(sample.routes_version, &[]);
         self.routes_age_seconds.record(sample.routes_age.as_secs_f64(), &[]);
         self.cached_bytes.record(sample.cached_bytes, &[]);
@@ -196,7 +197,7 @@
         self.store_outage_seconds.record(sample.store_outage.as_secs_f64(), &[]);
     }
 
-    /// All instruments in Prometheus' text format.
+    /// Renders all instruments in the Prometheus text format.
     pub(crate) fn exposition(&self) -> String {
         self.exposition.text()
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,8 +1,5 @@
-//! Serves callers that know nothing of owners: any instance serves any request, and the
-//! platform's store judges what must be unique.
-//!
-//! [`dialect`] is the border to a platform's names and formats; everything else is in the
-//! product's own terms.
+//! Gateway in which any instance serves any request. Conditional writes to the platform's store
+//! ensure uniqueness, and [`dialect`] isolates the names and formats of the platform.
 
 mod attempt;
 mod call;
@@ -50,7 +47,7 @@
 pub use run::{GatewaySockets, RunningGateway, launch_gateway};
 pub use settings::{GatewayMechanism, GatewaySettings, QuotaMode};
 
-/// One running gateway. All its tasks share it on one thread.
+/// State of a running gateway, shared by its tasks on one thread.
 pub(crate) struct Gateway {
     pub(crate) settings: GatewaySettings,
     pub(crate) dialect: Rc<dyn GatewayDialect>,
@@ -64,14 +61,14 @@
     pub(crate) metrics: GatewayMetrics,
     pub(crate) stop: StopState,
     pub(crate) readiness: AdvertisedReadiness,
-    /// Which new programs are let in.
+    /// Admission control for new programs.
     pub(crate) gate: RefCell<AdmissionGate>,
     pub(crate) open_calls: Cell<u32>,
     pub(crate) calls_ended: Notify,
 }
 
 impl Gateway {
-    /// Whether callers may be sent here.
+    /// True if callers may be sent to this instance.
     pub(crate) fn is_ready(&self) -> bool {
         self.news.is_complete() && !self.is_draining()
     }
@@ -80,12 +77,11 @@
         self.stop.is_draining()
     }
 
-    /// Brings the gauges up to date.
     pub(crate) fn sample_metrics(&self) {
         self.metrics.sample(&GatewaySample {
             members: self.members.alive() as u64,
             upstreams: self.news.upstreams.borrow().len() as u64,
-            upstreams_aside: self.news.upstreams.borrow().ejected_count(Instant::now()) as u64,
+            upstreams_ejected: self.news.upstreams.borrow().ejected_count(Instant::now()) as u64,
             routes_version: self.news.routes().map_or(0, |table| table.version),
             routes_age: self.news.routes_age(),
             cached_bytes: self.turns.cached_bytes() as u64,
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' connections and serves the requests on them, one after another.
+//! Accepts connections of callers and serves their requests in sequence.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,19 +11,19 @@
 use super::refusal::Refusal;
 use crate::core::routing::CallerLimits;
 
-/// Limits while no configuration is known.
+/// Used until the routes have been read.
 const DEFAULT_LIMITS: CallerLimits = CallerLimits {
     header_bytes: 16 * 1024,
     body_bytes: 4 * 1024 * 1024,
     header_timeout: Duration::from_secs(3),
     idle_timeout: Duration::from_secs(15),
 };
-/// How long a refused caller may go on sending: a body of 4 MB comes in 1 s at 34 Mbit/s.
-const LINGER_TIME: Duration = Duration::from_secs(1);
-/// Pause after an accept that failed, for want of descriptors as a rule.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Time to read and drop the rest of a refused request before the connection is closed.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay after a failed accept, which is usually due to a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A request that is being answered; a stop waits for it.
+/// Counts a request as open until it is dropped; a graceful shutdown waits for open calls.
 pub(crate) struct OpenCall {
     gateway: Rc<Gateway>,
 }
@@ -42,7 +42,7 @@
     }
 }
 
-/// Accepts connections until the stop has closed the door.
+/// Accepts connections until the shutdown reaches the refusing phase.
 pub(crate) async fn serve_callers(gateway: Rc<Gateway>, listener: TcpListener) {
     loop {
         let accepted = tokio::select! {
@@ -55,7 +55,7 @@
             }
             Err(error) => {
                 log::warn!("event=accept_failed error=\"{error}\"");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -65,29 +65,29 @@
     let (mut reader, mut writer) = split_caller(stream);
     while serve_request(&gateway, &mut reader, &mut writer).await {}
     if reader.is_unread() {
-        // Closed while the caller still sends, the connection is reset, and the refusal may be lost
-        // with it; a caller that has read it closes.
+        // Closing while the caller still sends would reset the connection, and the refusal could be
+        // lost. The caller closes it after it has read the refusal.
         writer.shut_down().await;
-        if timeout(LINGER_TIME, reader.discard()).await.is_err() {
+        if timeout(LINGER_TIMEOUT, reader.discard()).await.is_err() {
             log::debug!("event=linger_ended");
         }
     }
 }
 
-/// Serves the next request; false if the connection is to be closed.
+/// Serves the next request. Returns false if the connection must be closed.
 async fn serve_request(
     gateway: &Rc<Gateway>,
     reader: &mut CallerReader,
     writer: &mut CallerWriter,
 ) -> bool {
     let limits = gateway.news.routes().map_or(DEFAULT_LIMITS, |table| table.limits);
-    let begun = tokio::select! {
+    let has_request = tokio::select! {
         biased;
-        begun = reader.wait(limits.idle_timeout) => begun.is_ok(),
-        // Nothing has been read, so a request that crosses the close is sent elsewhere.
+        input = reader.wait(limits.idle_timeout) => input.is_ok(),
+        // No input has been read, so a caller whose request crosses the close can safely retry it.
         () = gateway.stop.closing_idle(), if !reader.has_input() => false,
     };
-    if !begun {
+    if !has_request {
         return false;
     }
     let arrived = Instant::now();
--- a/src/gateway/store/ways.rs
+++ b/src/gateway/store/ways.rs
@@ -140,9 +140,9 @@
         let method = call.method.clone();
         let begun = Instant::now();
         let answer = self.pool.exchange(&self.address, method, &call.target, body, limit).await;
-        self.meter.call_ended(call.kind, call_outcome(&answer), begun.elapsed());
+        self.meter.record_call(call.kind, call_outcome(&answer), begun.elapsed());
         let got = answer.as_ref().map_or(0, |(_, body)| body.len());
-        self.meter.moved(call.kind, call.body.len(), got);
+        self.meter.record_bytes(call.kind, call.body.len(), got);
         let error = match answer {
             Ok((StatusCode::TOO_MANY_REQUESTS, _)) => {
                 self.health.borrow_mut().refused_for_rate(begun);
