--- a/src/gateway/attempt/mod.rs
+++ b/src/gateway/attempt/mod.rs
@@ -206,7 +206,7 @@
         let request = ChoiceRequest {
             service: &call.service,
             zone: &self.settings.zone,
-            blocks: &call.head.parts,
+            blocks: &call.head.blocks,
             holder: call.holder.as_ref(),
             affinity,
             tried,
@@ -281,7 +281,7 @@
         log: &AttemptLog,
     ) -> RequestHead {
         let attempt = AttemptHead {
-            expect: choice.id.clone(),
+            upstream: choice.id.clone(),
             deadline: call.deadline.saturating_duration_since(Instant::now()),
             priority: call.priority,
             workspace: call.workspace.as_ref().map(|workspace| workspace.name.clone()),
--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -217,7 +217,7 @@
             if !events.is_complete() {
                 return CallEnd::cut("stream_torn", Some(upstream));
             }
-            turn.note_holder(call.head.line.as_ref(), &choice);
+            turn.note_holder(call.head.branch.as_ref(), &choice);
             if turn.is_kept() && !turn.keep(&choice, events, call.deadline).await {
                 return CallEnd::cut("turn_not_kept", Some(upstream));
             }
@@ -257,7 +257,7 @@
             return;
         }
         let mut upstreams = self.news.upstreams.borrow_mut();
-        for block in &call.head.parts {
+        for block in &call.head.blocks {
             upstreams.record_resident(upstream, &block.id);
         }
     }
--- a/src/gateway/call/turn.rs
+++ b/src/gateway/call/turn.rs
@@ -156,7 +156,7 @@
             // It is kept from its end on, which is not written apart.
             retention: retention + call.deadline.saturating_duration_since(Instant::now()),
             scope,
-            line: call.head.line.clone(),
+            line: call.head.branch.clone(),
             only_known,
         }
     }
--- a/src/gateway/dialect.rs
+++ b/src/gateway/dialect.rs
@@ -1,4 +1,4 @@
-//! The border to the platform: how callers, upstreams and the store spell what the gateway uses.
+//! Interface to the platform's names and formats for callers, upstreams and the store.
 
 use std::time::Duration;
 
@@ -17,34 +17,33 @@
 use crate::core::workspaces::ApiKey;
 use crate::node::platform::StoreError;
 
-/// What a caller's request says about itself, apart from method, path and body.
+/// Decoded headers of a caller's request.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct CallHead {
-    /// New for each attempt of a caller.
+    /// Differs between attempts of the same caller.
     pub request: Option<RequestId>,
-    /// How long the caller waits from now on.
+    /// Time from now until the caller stops waiting.
     pub deadline: Option<Duration>,
-    /// What requests about the same object share.
+    /// Shared by requests about the same object.
     pub affinity: Option<Box<str>>,
     pub program: Option<ProgramName>,
-    /// The line of turns of the program that it belongs to.
-    pub line: Option<BranchName>,
-    /// Time until the whole program should be done.
+    pub branch: Option<BranchName>,
+    /// Time until the program should finish.
     pub finish: Option<Duration>,
-    /// Tokens that all turns of the program may generate together.
+    /// Limit for the tokens that all turns of the program generate.
     pub token_budget: Option<Tokens>,
-    /// Most tokens this turn generates.
+    /// Limit for the tokens that this turn generates.
     pub max_output: Option<Tokens>,
-    /// Tokens of the whole prompt.
+    /// Length of the complete prompt.
     pub prompt_tokens: Option<Tokens>,
-    /// The turn this one continues from.
+    /// The turn that this one continues.
     pub previous: Option<TurnId>,
-    pub parts: Vec<PromptBlock>,
-    /// By which the caller shows its workspace.
+    pub blocks: Vec<PromptBlock>,
+    /// Identifies the workspace of the caller.
     pub key: Option<ApiKey>,
 }
 
-/// A head that no configuration makes acceptable.
+/// A request head that is invalid under any configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("the field '{field}' is {problem}")]
 pub struct HeadError {
@@ -52,40 +51,40 @@
     pub problem: Box<str>,
 }
 
-/// What the gateway adds to a request for an upstream.
+/// Headers that the gateway adds to a request to an upstream.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptHead {
-    /// The upstream that must answer; any other at its address refuses.
-    pub expect: UpstreamId,
-    /// Time the upstream may still take.
+    /// Any other upstream at the same address rejects the request.
+    pub upstream: UpstreamId,
+    /// Time left for the upstream to respond.
     pub deadline: Duration,
-    /// 0 is the most urgent, 9 the least; absent where no order is wanted.
+    /// From 0, the most urgent, to 9; none if the order does not matter.
     pub priority: Option<u8>,
-    /// Whose request it is; none where nobody had to show a key.
+    /// None if the route requires no key.
     pub workspace: Option<WorkspaceId>,
-    /// The event after which a stream that broke off goes on; absent where it begins.
+    /// The event after which an interrupted stream resumes; none to start from the first one.
     pub last_event: Option<Box<str>>,
 }
 
-/// What an upstream's answer says about itself.
+/// Decoded headers of an upstream's response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AnswerHead {
-    /// The request it answers.
+    /// Id of the request that the response belongs to.
     pub request: Option<RequestId>,
-    /// Whether the upstream vouches that the request did not run.
+    /// True if the upstream guarantees that the request did not run.
     pub not_run: bool,
-    /// How long an idle connection stays open, if it says so.
+    /// Announced time for which an idle connection stays open.
     pub keep_alive: Option<Duration>,
 }
 
-/// A question for addresses of this system.
+/// Query of a caller for addresses of instances.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AddressQuery {
     pub zone: Box<str>,
     pub region: Box<str>,
 }
 
-/// A row of the store that cannot be read.
+/// A row of the store that could not be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{what} is malformed: {reason}")]
 pub struct DecodeError {
@@ -93,22 +92,22 @@
     pub reason: Box<str>,
 }
 
-/// Names and formats of the platform. It decides nothing.
+/// Encodes and decodes the formats of the platform. Implementations make no decisions.
 pub trait GatewayDialect {
-    /// Reads a caller's head. Only what is wrong under any configuration is an error.
+    /// Only a head that is invalid under any configuration is an error.
     fn call_head(&self, headers: &HeaderMap) -> Result<CallHead, HeadError>;
 
-    /// The headers for an upstream: the caller's without those that only this system may set.
+    /// Returns the caller's headers without those reserved for the system, plus those of the attempt.
     fn upstream_headers(&self, caller: &HeaderMap, attempt: &AttemptHead) -> HeaderMap;
 
     fn answer_head(&self, headers: &HeaderMap) -> AnswerHead;
 
-    /// Reads a question for addresses; none if it is something else.
+    /// Returns none if the request is not an address query.
     fn address_query(&self, path: &str, query: &str) -> Option<AddressQuery>;
 
-    fn address_reply(&self, addresses: &[Box<str>], keep: Duration) -> Bytes;
+    fn address_reply(&self, addresses: &[Box<str>], ttl: Duration) -> Bytes;
 
-    /// Path at which the platform asks whether this instance is ready.
+    /// Path of the readiness probe.
     fn ready_path(&self) -> &'static str;
 
     fn commit_call(&self, transaction: &RowTransaction) -> StoreCall;
@@ -117,20 +116,20 @@
     fn range_call(&self, range: &RowRange) -> StoreCall;
     fn range_reply(&self, status: u16, body: &[u8]) -> Result<RangeReply, StoreError>;
 
-    /// Asks for the names of a table's parts, those after one of them.
+    /// Lists the partitions of a table in order, those that follow `after`.
     fn parts_call(&self, table: &str, after: Option<&str>) -> StoreCall;
     fn parts_reply(&self, status: u16, body: &[u8]) -> Result<Vec<Box<str>>, StoreError>;
 
-    /// Asks what changed in a table after a version; the store waits up to `wait` for something.
+    /// Requests the changes of a table after a version. The store waits up to `wait` for a change.
     fn changes_call(&self, table: &str, after: RowVersion, wait: Duration) -> StoreCall;
     fn changes_reply(&self, status: u16, body: &[u8]) -> Result<ChangesReply, StoreError>;
 
-    /// Table in which the operator keeps the routes.
+    /// Table of the operator's routes.
     fn routes_table(&self) -> &'static str;
-    /// Reads the routes; none if the row holds something else.
+    /// Returns none if the row does not hold routes.
     fn route_table(&self, row: &StoredRow) -> Result<Option<RouteTable>, DecodeError>;
 
-    /// Table in which upstreams list themselves.
+    /// Table in which upstreams register.
     fn upstreams_table(&self) -> &'static str;
     fn upstream_entry(&self, row: &StoredRow) -> Result<UpstreamEntry, DecodeError>;
 }
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -57,7 +57,7 @@
             program: Some(
                 "p1",
             ),
-            line: Some(
+            branch: Some(
                 "s1",
             ),
             finish: Some(
@@ -75,7 +75,7 @@
             previous: Some(
                 "r0",
             ),
-            parts: [
+            blocks: [
                 PromptBlock {
                     id: "5c1e",
                     tokens: 800,
@@ -118,7 +118,7 @@
         ("X-Own", "2"),
     ]);
     let attempt = AttemptHead {
-        expect: "i-1".into(),
+        upstream: "i-1".into(),
         deadline: Duration::from_millis(1_234),
         priority: Some(2),
         workspace: Some("acme".into()),
