--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -100,7 +100,7 @@
     SilenceAvoidance,
     /// Avoids engines whose events arrive slowly.
     PaceAvoidance,
-    /// Charges a program's first request with the expected requests of the whole program.
+    /// Limits a program's first request by the expected requests of the program.
     ProgramQuota,
     /// Prefers engines that have processed the same prompt blocks.
     PromptPlacement,
