--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -1,4 +1,4 @@
-//! Limits that operators set on programs.
+//! Limits of programs that operators set.
 
 mod support;
 
@@ -6,10 +6,9 @@
 use merlinsaddle::core::outcome::{CallOutcome, RefusalReason};
 use support::{TestCluster, answer_text, model_call, outcome, run_paused};
 
-/// A workspace's budget is gone in a night. Its program asks the model again after every answer;
-/// at the definition's 50 turns the next call is refused for good, as not run.
+/// Guards against a looping program that uses up the budget of its workspace.
 #[test]
-fn a_looping_program_is_stopped_by_its_turns() {
+fn program_is_refused_after_its_turn_limit() {
     run_paused(async {
         let cluster = TestCluster::start(1).await;
         cluster.workspace("w", ServiceClass::Trial, 1_000_000).await;
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter: what it makes of the platform's headers, rows and replies, good and bad.
+//! Tests of the platform adapter: headers, rows and store replies, valid and invalid.
 
 #[path = "../platform/mod.rs"]
 mod platform;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_turns_head_is_decoded() {
+fn turn_headers_are_decoded() {
     let head = PlatformDialect.call_head(&headers(&[
         ("Merlinsaddle-Request-Id", "r1"),
         ("Merlinsaddle-Deadline-Ms", "6000"),
@@ -100,13 +100,13 @@
 #[case(&[("Merlinsaddle-Token-Budget", "-5")])]
 #[case(&[("Merlinsaddle-Token-Usage", "7")])]
 #[case(&[("Merlinsaddle-Key", "a"), ("Merlinsaddle-Key", "a")])]
-fn bad_heads_name_their_field(#[case] pairs: &[(&str, &str)]) {
-    let error = PlatformDialect.call_head(&headers(pairs)).expect_err("a bad head");
+fn invalid_header_is_named_in_the_error(#[case] pairs: &[(&str, &str)]) {
+    let error = PlatformDialect.call_head(&headers(pairs)).expect_err("invalid headers");
     assert!(error.to_string().contains(&pairs[0].0.to_ascii_lowercase()), "{error}");
 }
 
 #[test]
-fn an_upstreams_head_has_what_the_system_sets() {
+fn upstream_request_has_system_headers_and_no_forged_ones() {
     let caller = headers(&[
         ("Host", "h"),
         ("Merlinsaddle-Request-Id", "r1"),
@@ -144,14 +144,14 @@
 }
 
 #[test]
-fn answers_say_whose_they_are() {
-    let answer = PlatformDialect.answer_head(&headers(&[
+fn response_headers_are_decoded() {
+    let head = PlatformDialect.answer_head(&headers(&[
         ("Merlinsaddle-Request-Id", "r1"),
         ("Merlinsaddle-Not-Run", "1"),
         ("Keep-Alive", "max=5, timeout=10"),
     ]));
-    assert_eq!(answer.request.as_deref(), Some("r1"));
-    assert_eq!((answer.not_run, answer.keep_alive), (true, Some(Duration::from_secs(10))));
+    assert_eq!(head.request.as_deref(), Some("r1"));
+    assert_eq!((head.not_run, head.keep_alive), (true, Some(Duration::from_secs(10))));
 }
 
 const CONFIG: &str = r#"{"version":7,"routes":[
@@ -166,9 +166,9 @@
               "idle-timeout-ms":15000}}"#;
 
 #[test]
-fn the_operators_configuration_is_decoded() {
+fn configuration_is_decoded() {
     let table = PlatformDialect.route_table(&row("config", Some(CONFIG)));
-    let table = table.expect("it is valid").expect("it is the configuration");
+    let table = table.expect("it is valid").expect("the configuration row");
     insta::assert_debug_snapshot!(
         (table.version, table.limits, table.find("h", "/a/x"), table.find("h", "/b/x")),
         @r#"
@@ -245,13 +245,13 @@
 #[case("{}")]
 #[case("not json")]
 #[case(r#"{"version":1,"routes":[{"name":"a"}],"services":[],"limits":{}}"#)]
-fn bad_configurations_are_errors(#[case] text: &str) {
+fn invalid_configuration_is_an_error(#[case] text: &str) {
     assert!(PlatformDialect.route_table(&row("config", Some(text))).is_err());
     assert!(PlatformDialect.route_table(&row("config", None)).is_err());
 }
 
 #[test]
-fn an_upstreams_entry_is_decoded() {
+fn upstream_entry_is_decoded() {
     let text = r#"{"service":"s","address":"10.0.0.9:80","zone":"z","version":"v1","slots":6,
         "state":"draining","cold-left-ms":250,"sequence":4}"#;
     let entry = PlatformDialect.upstream_entry(&row("i-1", Some(text))).expect("it is valid");
@@ -263,10 +263,9 @@
 const ENTRY: &str = r#"{"service":"s","address":"10.0.0.9:80","zone":"z","version":"v1","slots":6,
     "state":"ready","cold-left-ms":0,"sequence":4,"born":1700000000000,"news":[1]}"#;
 
-/// Another writer puts an entry into the list in which one field is missing or of another type. It
-/// names no upstream: taken for one, requests would go to an address nobody vouches for.
+/// Guards against sending requests to the address of an entry that no upstream wrote.
 #[rstest]
-fn a_mangled_entry_names_no_upstream(
+fn entry_with_missing_or_mistyped_field_is_rejected(
     #[values(
         "service",
         "address",
@@ -280,17 +279,17 @@
     field: &str,
     #[values("absent", "null", "[]", "{}", "true", "-1", "1.5", "\"\"", "\"odd\"")] value: &str,
 ) {
-    let mut entry: serde_json::Value = serde_json::from_str(ENTRY).expect("it is JSON");
+    let mut entry: serde_json::Value = serde_json::from_str(ENTRY).expect("valid JSON");
     if value == "absent" {
         entry.as_object_mut().expect("an object").remove(field);
     } else {
-        entry[field] = serde_json::from_str(value).expect("it is JSON");
+        entry[field] = serde_json::from_str(value).expect("valid JSON");
     }
     let text = entry.to_string();
-    let any_text = ["service", "zone", "version"].contains(&field) && value.starts_with('"');
-    let time = field == "cold-left-ms" && ["-1", "1.5"].contains(&value);
+    let is_valid_text = ["service", "zone", "version"].contains(&field) && value.starts_with('"');
+    let is_valid_time = field == "cold-left-ms" && ["-1", "1.5"].contains(&value);
     let decoded = PlatformDialect.upstream_entry(&row("i-1", Some(&text)));
-    assert_eq!(decoded.is_ok(), any_text || time, "{text}");
+    assert_eq!(decoded.is_ok(), is_valid_text || is_valid_time, "{text}");
 }
 
 #[rstest]
@@ -299,17 +298,17 @@
 #[case("-1", None)]
 #[case("null", None)]
 #[case("\"1700000000000\"", None)]
-fn a_start_time_is_a_whole_number(#[case] started_at: &str, #[case] expected: Option<Option<u64>>) {
+fn start_time_must_be_an_integer(#[case] started_at: &str, #[case] expected: Option<Option<u64>>) {
     let text = ENTRY.replace("1700000000000", started_at);
     let decoded = PlatformDialect.upstream_entry(&row("i-1", Some(&text)));
     assert_eq!(decoded.ok().map(|entry| entry.started_at), expected);
 }
 
 proptest::proptest! {
-    /// Bytes of an entry are lost or replaced on their way into the store. Reading it never panics,
-    /// and what it still names is complete.
+    /// Guards against a panic or a partially decoded upstream when the bytes of an entry are
+    /// truncated or replaced.
     #[test]
-    fn spoilt_bytes_never_name_half_an_upstream(
+    fn corrupted_entry_is_rejected_or_decoded_completely(
         at in 0..ENTRY.len(),
         byte in proptest::num::u8::ANY,
         cut in proptest::bool::ANY,
@@ -320,12 +319,12 @@
         } else {
             bytes[at] = byte;
         }
-        let mut spoilt = row("i-1", None);
-        spoilt.value = Some(bytes.into());
-        let text = spoilt.value.clone().expect("it was just set");
-        let Ok(entry) = PlatformDialect.upstream_entry(&spoilt) else { return Ok(()) };
-        // Read once more without types: all that the entry is made of stands there, as it was taken.
-        let fields: serde_json::Value = serde_json::from_slice(&text).expect("it is JSON");
+        let mut corrupted = row("i-1", None);
+        corrupted.value = Some(bytes.into());
+        let text = corrupted.value.clone().expect("value was just set");
+        let Ok(entry) = PlatformDialect.upstream_entry(&corrupted) else { return Ok(()) };
+        // The decoded fields must match the untyped JSON.
+        let fields: serde_json::Value = serde_json::from_slice(&text).expect("valid JSON");
         proptest::prop_assert_eq!(fields["service"].as_str(), Some(&*entry.service));
         proptest::prop_assert_eq!(fields["zone"].as_str(), Some(&*entry.zone));
         proptest::prop_assert_eq!(fields["slots"].as_u64(), Some(entry.slots.into()));
@@ -339,7 +338,7 @@
 }
 
 #[test]
-fn store_calls_are_spelled_as_the_platform_reads_them() {
+fn store_calls_are_encoded() {
     let key =
         |part: &str, key: &str| RowKey { table: "my".into(), part: part.into(), key: key.into() };
     let transaction = RowTransaction {
@@ -382,7 +381,7 @@
 #[rstest]
 #[case(429, "", StoreError::Unavailable)]
 #[case(503, "busy", StoreError::Unavailable)]
-fn refusals_mean_that_nothing_was_done(
+fn throttled_and_busy_replies_mean_unavailable(
     #[case] status: u16,
     #[case] body: &str,
     #[case] expected: StoreError,
@@ -392,17 +391,17 @@
 }
 
 #[test]
-fn replies_are_decoded_and_nonsense_is_an_error() {
+fn store_replies_are_decoded_and_malformed_ones_rejected() {
     let conflict =
         br#"{"rows":[{"table":"my","part":"p","key":"a","value":"bm9kZS0x","row-version":4}]}"#;
     let Ok(CommitReply::Conflict(rows)) = PlatformDialect.commit_reply(412, conflict) else {
-        panic!("a conflict")
+        panic!("expected a conflict")
     };
     assert_eq!((rows[0].version, rows[0].value.as_deref()), (4, Some(&b"node-1"[..])));
-    let gone = br#"{"rows":[{"table":"servers","key":"i","row-version":9,"deleted":true}],"row-version":9,"now-ms":1.5}"#;
-    let Ok(ChangesReply::Changes { rows, version }) = PlatformDialect.changes_reply(200, gone)
+    let removal = br#"{"rows":[{"table":"servers","key":"i","row-version":9,"deleted":true}],"row-version":9,"now-ms":1.5}"#;
+    let Ok(ChangesReply::Changes { rows, version }) = PlatformDialect.changes_reply(200, removal)
     else {
-        panic!("changes")
+        panic!("expected changes")
     };
     assert_eq!((version, rows[0].value.is_none()), (9, true));
     assert_eq!(PlatformDialect.changes_reply(410, b""), Ok(ChangesReply::HistoryGone));
@@ -413,9 +412,9 @@
 }
 
 #[test]
-fn addresses_are_asked_for_and_named() {
+fn address_query_is_decoded_and_reply_encoded() {
     let query = PlatformDialect.address_query("/resolve", "name=h&region=r&zone=z");
-    let query = query.expect("a question for addresses");
+    let query = query.expect("an address query");
     assert_eq!((&*query.zone, &*query.region), ("z", "r"));
     assert!(PlatformDialect.address_query("/other", "").is_none());
     let many: Vec<Box<str>> = (0..70).map(|port| format!("10.0.0.1:{port}").into()).collect();
--- a/tests/platform_workspaces.rs
+++ b/tests/platform_workspaces.rs
@@ -1,4 +1,4 @@
-//! The adapter: workspaces and their keys in the operator's configuration, good and bad.
+//! Tests of the platform adapter: workspaces and API keys in the configuration.
 
 #[path = "../platform/mod.rs"]
 mod platform;
@@ -22,12 +22,14 @@
                {"name":"free","api-keys":["k3"]},{"name":"locked"}]}"#;
 
 #[test]
-fn workspaces_are_decoded_and_print_no_key() {
+fn workspaces_are_decoded_and_debug_output_has_no_keys() {
     let table = PlatformDialect.route_table(&row(WORKSPACES));
-    let table = table.expect("it is valid").expect("it is the configuration");
-    let workspaces = table.workspaces().expect("it names some");
+    let table = table.expect("valid row").expect("the configuration row");
+    let workspaces = table.workspaces().expect("workspaces are configured");
     let names: Vec<_> = ["k1", "k2", "k3", "k4"]
-        .map(|key| workspaces.find_by_key(&ApiKey::new(key)).map(|holder| holder.name.clone()))
+        .map(|key| {
+            workspaces.find_by_key(&ApiKey::new(key)).map(|workspace| workspace.name.clone())
+        })
         .into();
     insta::assert_debug_snapshot!(
         (names, workspaces.get("acme"), workspaces.get("free"), workspaces.get("locked")),
@@ -90,16 +92,15 @@
     }
 }
 
-/// The operator's tool writes a key where a list is expected, or spells a number as the key. The
-/// error goes to the log, which more people read than may know keys: it names the place and leaves
-/// out what stands there.
+/// Guards against API keys in the log when the configuration is malformed: the error gives only
+/// the position.
 #[rstest]
 #[case(r#"{"version":1,"routes":[],"services":[],"limits":{"max-header-bytes":1,"max-body-bytes":1,"header-timeout-ms":1,"idle-timeout-ms":1},"tenants":[{"name":"a","api-keys":"s3cret"}]}"#)]
 #[case(r#"{"version":1,"routes":[],"services":[],"limits":{"max-header-bytes":1,"max-body-bytes":1,"header-timeout-ms":1,"idle-timeout-ms":1},"tenants":[{"name":"a","priority":"s3cret"}]}"#)]
 #[case(r#"{"version":1,"routes":[],"services":[],"limits":{"max-header-bytes":1,"max-body-bytes":1,"header-timeout-ms":1,"idle-timeout-ms":1},"tenants":["s3cret"]}"#)]
 #[case(r#"{"version":1,"tenants":[{"name":"a","api-keys":["s3cret"}"#)]
-fn an_unreadable_configuration_tells_no_key(#[case] text: &str) {
-    let error = PlatformDialect.route_table(&row(text)).expect_err("it is bad");
+fn configuration_error_contains_no_keys(#[case] text: &str) {
+    let error = PlatformDialect.route_table(&row(text)).expect_err("invalid configuration");
     let text = error.to_string();
     assert!(!text.contains("s3cret"), "{text}");
     assert!(text.contains("line 1 column"), "{text}");
