--- a/tests/gateway_calls.rs
+++ b/tests/gateway_calls.rs
@@ -6,7 +6,7 @@
 
 use platform_standin::engine::{EVENTS, EngineAct};
 use platform_standin::http::Wire;
-use platform_standin::{Deployment, HOST, LIMIT, call, turn, wait_until};
+use platform_standin::{Deployment, HOST, TEST_TIMEOUT, call, turn, wait_until};
 use rstest::rstest;
 use tokio::net::TcpListener;
 use tokio::time::{Instant, timeout};
@@ -132,7 +132,7 @@
     }
     let left = Instant::now();
     drop(caller);
-    assert!(timeout(LIMIT, upstream.ends()).await.expect("the connection ends"));
+    assert!(timeout(TEST_TIMEOUT, upstream.ends()).await.expect("the connection ends"));
     assert!(left.elapsed() < Duration::from_millis(500), "it took {:?}", left.elapsed());
 }
 
@@ -219,7 +219,7 @@
 #[actix_rt::test]
 async fn a_silent_upstream_ends_at_the_deadline() {
     let deployment = Deployment::start(1, 1).await;
-    deployment.engines[0].act(EngineAct::Slow(LIMIT));
+    deployment.engines[0].act(EngineAct::Slow(TEST_TIMEOUT));
     let request = call("book", "b1").replace("5000", "300");
     let begun = Instant::now();
     let answer = deployment.gateway().call(&request).await;
--- a/tests/gateway_news.rs
+++ b/tests/gateway_news.rs
@@ -73,7 +73,7 @@
     let deployment = Deployment::start(1, 2).await;
     deployment.list_engine("e0", "127.0.0.1:1", "draining");
     tokio::time::sleep(Duration::from_secs(2)).await;
-    deployment.serves_without(0).await;
+    deployment.assert_serves_without(0).await;
 }
 
 /// One of two instances reaches the store by the other only. Callers that ask are sent to the other
--- a/tests/gateway_quotas.rs
+++ b/tests/gateway_quotas.rs
@@ -69,7 +69,7 @@
     deployment.all_named().await;
     filled(&deployment, "calm", 40.0).await;
     filled(&deployment, "hot", 8.0).await;
-    deployment.engines[0].forget_runs();
+    deployment.engines[0].clear_runs();
     let begun = Instant::now();
     let [hot, calm, free] = [("hot", 60), ("calm", 20), ("free", 60)]
         .map(|(workspace, count)| flood(&deployment, workspace, count));
@@ -97,7 +97,7 @@
         Deployment::start(3, 1).await.with_workspaces(&[limited("acme", 20.0, 20.0)]).await;
     deployment.all_named().await;
     let chief = filled(&deployment, "acme", 18.0).await;
-    deployment.engines[0].forget_runs();
+    deployment.engines[0].clear_runs();
     let begun = Instant::now();
     let first = count(&flood(&deployment, "acme", 40).await, 200);
     let mut victim = deployment.gateways.swap_remove(chief);
@@ -200,7 +200,7 @@
         (0..9).for_each(|_| deployment.engines[0].act(EngineAct::Full));
         let request = from("acme", &call("book", &format!("f{number}")));
         assert_eq!(deployment.gateways[number % 2].call(&request).await.status(), 503);
-        deployment.engines[0].forget_acts();
+        deployment.engines[0].clear_acts();
     }
     wait_until("all is given back", async || {
         samples(&deployment.gateways[chief]).await.iter().any(|s| s.is_primary && s.level >= 5.0)
--- a/tests/gateway_resume.rs
+++ b/tests/gateway_resume.rs
@@ -21,7 +21,7 @@
         deployment.gateway().call(&turn).await.status() == 200
     })
     .await;
-    deployment.engines.iter().for_each(|engine| engine.forget_runs());
+    deployment.engines.iter().for_each(|engine| engine.clear_runs());
     deployment
 }
 
--- a/tests/news_readers.rs
+++ b/tests/news_readers.rs
@@ -81,7 +81,7 @@
     deployment.list_engine("e0", "127.0.0.1:1", "draining");
     assert!(comes_into_force(deployment.gateway(), "added").await);
     tokio::time::sleep(Duration::from_millis(800)).await;
-    deployment.serves_without(0).await;
+    deployment.assert_serves_without(0).await;
 }
 
 /// The reader's way to the store falls silent, and it has no relays: it answers its follower, but has
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -168,7 +168,7 @@
 #[test]
 fn configuration_is_decoded() {
     let table = PlatformDialect.route_table(&row("config", Some(CONFIG)));
-    let table = table.expect("it is valid").expect("the configuration row");
+    let table = table.expect("valid row").expect("the configuration row");
     insta::assert_debug_snapshot!(
         (table.version, table.limits, table.find("h", "/a/x"), table.find("h", "/b/x")),
         @r#"
@@ -254,7 +254,7 @@
 fn upstream_entry_is_decoded() {
     let text = r#"{"service":"s","address":"10.0.0.9:80","zone":"z","version":"v1","slots":6,
         "state":"draining","cold-left-ms":250,"sequence":4}"#;
-    let entry = PlatformDialect.upstream_entry(&row("i-1", Some(text))).expect("it is valid");
+    let entry = PlatformDialect.upstream_entry(&row("i-1", Some(text))).expect("valid row");
     assert_eq!((&*entry.id, &*entry.service, &*entry.address), ("i-1", "s", "10.0.0.9:80"));
     assert_eq!((entry.state, entry.warming), (UpstreamState::Draining, Duration::from_millis(250)));
     assert!(PlatformDialect.upstream_entry(&row("i-1", Some(r#"{"state":"odd"}"#))).is_err());
--- a/tests/platform_standin/engine.rs
+++ b/tests/platform_standin/engine.rs
@@ -1,4 +1,4 @@
-//! A stand-in of an upstream: it runs what it is sent, or misbehaves as told.
+//! Stand-in for an upstream, with scripted faults.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -10,32 +10,32 @@
 
 use super::http::{RawMessage, Step, answer, serve};
 
-/// What the next request meets; without one it is answered.
+/// Scripted behavior for one request; without any, the request succeeds.
 #[derive(Debug, Clone)]
 pub enum EngineAct {
-    /// Refused for want of room; not run.
+    /// Rejects the request without running it, for lack of capacity.
     Full,
-    /// Another upstream has the address.
+    /// Rejects the request as sent to the wrong upstream.
     Misdirected,
-    /// Runs, and the answer is lost.
+    /// Runs the request and closes the connection without a response.
     LoseAnswer,
-    /// The stream ends after so many events, without its end.
+    /// Interrupts the stream after this many events.
     CutAfter(usize),
-    /// The stream ends in the middle of the event after so many.
+    /// Interrupts the stream in the middle of the event after this many.
     CutInside(usize),
-    /// A stream from its first event, whatever it should go on after.
+    /// Ignores `Last-Event-Id` and streams from the first event.
     FromStart,
-    /// A late answer to another request comes first.
+    /// Sends the response to another request first.
     ForeignFirst,
-    /// Bytes follow the answer.
+    /// Sends excess bytes after the response.
     Trailing,
-    /// The answer has no length and ends with the connection.
+    /// Delimits the response by the end of the connection.
     UntilClose,
-    /// Waits so long before it answers.
+    /// Delays the response.
     Slow(Duration),
-    /// A failure of its own, run.
+    /// Runs the request and responds with this error status.
     Fail(u16),
-    /// Answers a stream, with this pause between events.
+    /// Streams with this pause after each event.
     Paced(Duration),
 }
 
@@ -43,23 +43,23 @@
 struct State {
     acts: VecDeque<EngineAct>,
     runs: Vec<RawMessage>,
-    /// Requests that have come, run or not.
+    /// Requests received, run or not.
     seen: u32,
 }
 
-/// The stand-in; clones share it.
+/// Clones share the same state.
 #[derive(Clone, Default)]
 pub struct StandinEngine {
     state: Rc<RefCell<State>>,
 }
 
-/// Events of each stream.
+/// Number of events of each complete stream.
 pub const EVENTS: usize = 3;
 
 impl StandinEngine {
     pub async fn start(&self, ip: &str) -> String {
         let listener = TcpListener::bind(format!("{ip}:0")).await.expect("a free port");
-        let address = listener.local_addr().expect("it is bound").to_string();
+        let address = listener.local_addr().expect("listener is bound").to_string();
         let engine = self.clone();
         actix_rt::spawn(serve(listener, move |request| {
             let steps = engine.handle(request);
@@ -72,22 +72,20 @@
         self.state.borrow_mut().acts.push_back(act);
     }
 
-    /// Requests that have run.
     pub fn runs(&self) -> Vec<RawMessage> {
         self.state.borrow().runs.clone()
     }
 
-    /// Drops what was to happen next.
-    pub fn forget_acts(&self) {
+    /// Drops the scripted behavior that is left.
+    pub fn clear_acts(&self) {
         self.state.borrow_mut().acts.clear();
     }
 
-    /// Forgets what has run so far.
-    pub fn forget_runs(&self) {
+    pub fn clear_runs(&self) {
         self.state.borrow_mut().runs.clear();
     }
 
-    /// Requests that have come, run or not.
+    /// Number of requests received, run or not.
     pub fn seen(&self) -> u32 {
         self.state.borrow().seen
     }
--- a/tests/platform_standin/http.rs
+++ b/tests/platform_standin/http.rs
@@ -1,4 +1,4 @@
-//! The smallest HTTP server and client that tests of odd peers need: raw bytes, raw endings.
+//! Minimal HTTP server and client for tests that need control over bytes and connections.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -9,15 +9,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// A request or an answer as it came.
+/// A request or a response as received.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RawMessage {
-    /// The first line.
+    /// Start line.
     pub start: String,
-    /// By lower-case name.
+    /// Names are in lower case.
     pub headers: BTreeMap<String, String>,
     pub body: Vec<u8>,
-    /// Whether the body's end was seen.
+    /// True if the body was received completely.
     pub whole: bool,
 }
 
@@ -43,24 +43,24 @@
     }
 }
 
-/// What a stand-in does on a connection after a request.
+/// Action of a stand-in on a connection after a request.
 #[derive(Debug, Clone)]
 pub enum Step {
     Send(Vec<u8>),
     Pause(Duration),
-    /// Ends the connection; nothing follows.
+    /// Closes the connection.
     Close,
-    /// Never answers.
+    /// Never responds, and keeps the connection open.
     Hang,
 }
 
-/// A whole answer with a length.
+/// A complete response with a `Content-Length`.
 pub fn answer(status: u16, headers: &str, body: &[u8]) -> Step {
     let head = format!("HTTP/1.1 {status} X\r\n{headers}content-length: {}\r\n\r\n", body.len());
     Step::Send([head.as_bytes(), body].concat())
 }
 
-/// Serves each request by the steps that `handle` gives for it.
+/// Serves each request with the steps that `handle` returns.
 pub async fn serve<F, R>(listener: TcpListener, handle: F)
 where
     F: Fn(RawMessage) -> R + 'static,
@@ -86,7 +86,6 @@
     }
 }
 
-/// One connection.
 pub struct Wire {
     stream: TcpStream,
     buffer: Vec<u8>,
@@ -109,19 +108,19 @@
         matches!(self.stream.read_buf(&mut self.buffer).await, Ok(count) if count > 0)
     }
 
-    /// Whether the peer closes the connection without another byte.
+    /// Returns true if the peer closes the connection without sending anything.
     pub async fn ends(&mut self) -> bool {
         self.buffer.is_empty() && !self.fill().await
     }
 
-    /// Reads until `text` has come; what was read stays for the next message.
+    /// Reads until `text` arrives. The input stays buffered for the next message.
     pub async fn wait_for(&mut self, text: &str) {
         while !String::from_utf8_lossy(&self.buffer).contains(text) {
-            assert!(self.fill().await, "the connection ended before '{text}'");
+            assert!(self.fill().await, "connection closed before '{text}'");
         }
     }
 
-    /// The next message; none if the connection ends before its head.
+    /// Returns none if the connection ends before the head is complete.
     pub async fn read_message(&mut self, is_answer: bool) -> Option<RawMessage> {
         let end = loop {
             if let Some(end) = find(&self.buffer, b"\r\n\r\n") {
--- a/tests/platform_standin/mod.rs
+++ b/tests/platform_standin/mod.rs
@@ -1,4 +1,4 @@
-//! Real gateways on loopback sockets between stand-ins of the platform.
+//! Test harness: real gateways on loopback sockets with stand-ins for the store and the engines.
 
 #![allow(dead_code)]
 
@@ -23,17 +23,16 @@
 use http::{RawMessage, Wire};
 use store::StandinStore;
 
-/// Longest wait for anything that must happen; a loaded machine takes seconds for milliseconds.
-pub const LIMIT: Duration = Duration::from_secs(20);
+/// Generous, since tests may run on a loaded machine.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 pub const HOST: &str = "skills.example";
 
-/// How a gateway's thread ends.
 enum Ending {
     Killed,
     Stopped,
 }
 
-/// A gateway on a thread of its own, as in a process of its own.
+/// A gateway on its own thread, which stands for a process.
 pub struct TestGateway {
     pub settings: GatewaySettings,
     end: Option<oneshot::Sender<Ending>>,
@@ -41,18 +40,18 @@
 }
 
 impl TestGateway {
-    /// Starts a gateway at this IP. All gateways of a test share the port of the failure detector.
+    /// Starts a gateway at this IP. The gateways of a test share the port of the failure detector.
     pub fn start(ip: &str, store: &str, gossip_port: u16, seeds: &[&TestGateway]) -> Self {
         Self::start_with(ip, store, gossip_port, seeds, &json!({}))
     }
 
-    /// Like [`TestGateway::start`], with some settings of the test's own.
+    /// Like [`TestGateway::start`], with settings that override the defaults.
     pub fn start_with(
         ip: &str,
         store: &str,
         gossip_port: u16,
         seeds: &[&TestGateway],
-        own: &Value,
+        overrides: &Value,
     ) -> Self {
         let seeds: Vec<&str> = seeds.iter().map(|seed| &*seed.settings.peer_address).collect();
         let any = format!("{ip}:0");
@@ -63,7 +62,7 @@
             "store_address": store, "store_row_bytes": 65536, "store_across_parts": true, "memory_mb": 130,
             "grace_seconds": 8, "address_keep_seconds": 0.3,
         });
-        for (key, value) in own.as_object().expect("an object") {
+        for (key, value) in overrides.as_object().expect("an object") {
             text[key] = value.clone();
         }
         let mut settings = GatewaySettings::parse(&text.to_string()).expect("valid settings");
@@ -72,7 +71,7 @@
         let thread = std::thread::spawn(move || {
             actix_rt::System::new().block_on(async move {
                 let sockets = GatewaySockets::open(&mut settings).await.expect("free ports");
-                bound.send(settings.clone()).expect("the test waits for it");
+                bound.send(settings.clone()).expect("the test is waiting");
                 let dialect = Rc::new(platform::PlatformDialect);
                 let gateway = launch_gateway(settings, sockets, dialect, 7);
                 match ended.await {
@@ -85,38 +84,36 @@
         Self { settings, end: Some(end), thread: Some(thread) }
     }
 
-    /// Name of the gateway at an IP.
     pub fn instance(ip: &str) -> String {
         format!("gateway-{ip}")
     }
 
-    /// Ends it as SIGKILL would.
+    /// Ends the gateway as SIGKILL would.
     pub async fn kill(&mut self) {
         self.end(Ending::Killed).await;
     }
 
-    /// Stops it as SIGTERM would; whether nothing was cut off.
+    /// Stops the gateway as SIGTERM would. Returns true if no open call was cut off.
     pub async fn stop(&mut self) -> bool {
         self.end(Ending::Stopped).await
     }
 
-    /// Begins a stop; [`TestGateway::join`] waits for its end.
+    /// Starts a graceful shutdown; [`TestGateway::join`] waits for its end.
     pub fn begin_stop(&mut self) {
-        let end = self.end.take().expect("it runs");
+        let end = self.end.take().expect("gateway is running");
         let _ = end.send(Ending::Stopped);
     }
 
     pub async fn join(&mut self) -> bool {
-        let thread = self.thread.take().expect("it was not joined yet");
-        tokio::task::spawn_blocking(|| thread.join().expect("no panic")).await.expect("it ends")
+        let thread = self.thread.take().expect("not joined before");
+        tokio::task::spawn_blocking(|| thread.join().expect("no panic")).await.expect("thread ends")
     }
 
     async fn end(&mut self, ending: Ending) -> bool {
-        let _ = self.end.take().expect("it runs").send(ending);
+        let _ = self.end.take().expect("gateway is running").send(ending);
         self.join().await
     }
 
-    /// Waits until it is ready.
     pub async fn ready(&self) {
         wait_until("the gateway is ready", async || self.ready_status().await == 200).await;
     }
@@ -126,7 +123,7 @@
         exchange(&self.settings.ready_address, request).await.map_or(0, |answer| answer.status())
     }
 
-    /// Addresses that it names to callers.
+    /// Addresses in the directory of this gateway.
     pub async fn named(&self) -> Vec<String> {
         let request = "GET /resolve?name=x&region=region&zone=zone-a HTTP/1.1\r\nhost: x\r\n\r\n";
         let answer = exchange(&self.settings.directory_address, request).await;
@@ -136,15 +133,17 @@
         list.iter().filter_map(|address| address.as_str().map(str::to_owned)).collect()
     }
 
-    /// Sends a request over a connection of its own; its answer.
+    /// Sends a request over a new connection and returns the response.
     pub async fn call(&self, request: &str) -> RawMessage {
-        exchange(&self.settings.caller_address, request).await.expect("an answer comes")
+        exchange(&self.settings.caller_address, request).await.expect("a response arrives")
     }
 
-    /// Sends a request in the background; it may outlive the gateway.
+    /// Sends a request in the background. The task may outlive the gateway.
     pub fn call_later(&self, request: &str) -> JoinHandle<RawMessage> {
         let (address, request) = (self.settings.caller_address.clone(), request.to_owned());
-        actix_rt::spawn(async move { exchange(&address, &request).await.expect("an answer comes") })
+        actix_rt::spawn(
+            async move { exchange(&address, &request).await.expect("a response arrives") },
+        )
     }
 
     pub async fn connect(&self) -> Wire {
@@ -158,19 +157,18 @@
         wire.send(request.as_bytes()).await;
         wire.read_message(true).await
     };
-    timeout(LIMIT, exchange).await.expect("an answer comes in time")
+    timeout(TEST_TIMEOUT, exchange).await.expect("a response arrives in time")
 }
 
-/// Waits for a condition.
 pub async fn wait_until(what: &str, condition: impl AsyncFn() -> bool) {
-    let late = Instant::now() + LIMIT;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while !condition().await {
-        assert!(Instant::now() < late, "in vain: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Store, engines of one service each, and gateways.
+/// A store, engines of one service, and gateways.
 pub struct Deployment {
     pub store: StandinStore,
     pub store_address: String,
@@ -179,13 +177,13 @@
 }
 
 impl Deployment {
-    /// Starts `gateways` gateways and `engines` engines, and waits until all are in service.
+    /// Starts gateways and engines and waits until the gateways are ready.
     pub async fn start(gateways: usize, engines: usize) -> Self {
         Self::start_with(gateways, engines, &json!({})).await
     }
 
-    /// Like [`Deployment::start`], with some settings of the test's own.
-    pub async fn start_with(gateways: usize, engines: usize, own: &Value) -> Self {
+    /// Like [`Deployment::start`], with settings that override the defaults.
+    pub async fn start_with(gateways: usize, engines: usize, overrides: &Value) -> Self {
         let store = StandinStore::default();
         let store_address = store.start("127.0.0.1").await;
         store.put("op", "config", &manifest(1, &default_routes()));
@@ -199,12 +197,12 @@
         }
         for number in 0..gateways {
             let store = deployment.store_address.clone();
-            deployment.add_gateway_at(&gateway_ip(number), &store, own).await;
+            deployment.add_gateway_at(&gateway_ip(number), &store, overrides).await;
         }
         deployment
     }
 
-    /// One gateway and two engines; the first is in its zone and so is asked first.
+    /// One gateway and two engines, of which the first is preferred as it is in the same zone.
     pub async fn with_near_and_far_engine() -> Self {
         let mut deployment = Self::start(0, 1).await;
         let far = StandinEngine::default();
@@ -220,19 +218,19 @@
         self.add_gateway_at(&gateway_ip(number), &store, &json!({})).await;
     }
 
-    /// Adds a gateway at this IP whose store has this address; waits until it is ready.
-    pub async fn add_gateway_at(&mut self, ip: &str, store: &str, own: &Value) {
+    /// Adds a gateway that uses the store at this address, and waits until it is ready.
+    pub async fn add_gateway_at(&mut self, ip: &str, store: &str, overrides: &Value) {
         let port = self.gateways.first().map_or(0, |first| first.settings.gossip_port);
         let seeds: Vec<&TestGateway> = self.gateways.iter().take(1).collect();
-        let gateway = TestGateway::start_with(ip, store, port, &seeds, own);
+        let gateway = TestGateway::start_with(ip, store, port, &seeds, overrides);
         gateway.ready().await;
         self.gateways.push(gateway);
     }
 
-    /// Waits until all gateways name each other to callers.
+    /// Waits until the directory of each gateway lists all gateways.
     pub async fn all_named(&self) {
         let count = self.gateways.len();
-        wait_until("all know each other", async || {
+        wait_until("all directories are complete", async || {
             for gateway in &self.gateways {
                 if gateway.named().await.len() < count {
                     return false;
@@ -243,8 +241,8 @@
         .await;
     }
 
-    /// Sees the first gateway serve eight calls without this engine.
-    pub async fn serves_without(&self, engine: usize) {
+    /// Asserts that the first gateway serves calls without this engine.
+    pub async fn assert_serves_without(&self, engine: usize) {
         let before = self.engines[engine].seen();
         for number in 0..8 {
             let answer = self.gateway().call(&call("book", &format!("b{number}"))).await;
@@ -253,12 +251,12 @@
         assert_eq!(self.engines[engine].seen(), before);
     }
 
-    /// Lists an engine as it would list itself.
+    /// Registers an engine as it would itself.
     pub fn list_engine(&self, id: &str, address: &str, state: &str) {
         self.list_engine_in("zone-a", id, address, state);
     }
 
-    /// Lists an incarnation of an engine by its start time.
+    /// Registers the incarnation of an engine with this start time.
     pub fn list_incarnation(&self, id: &str, address: &str, state: &str, started_at: u64) {
         let mut entry = engine_entry("zone-a", address, state);
         entry["born"] = started_at.into();
@@ -273,7 +271,7 @@
         &self.gateways[0]
     }
 
-    /// Requests that have run at any engine.
+    /// Requests that were run by any engine.
     pub fn runs(&self) -> Vec<RawMessage> {
         self.engines.iter().flat_map(StandinEngine::runs).collect()
     }
@@ -282,28 +280,27 @@
         self.store.put("op", "config", &manifest(version, routes));
     }
 
-    /// Sets who may ask.
     pub fn set_workspaces(&self, version: u64, workspaces: &[Value]) {
         let mut manifest = manifest(version, &default_routes());
         manifest["tenants"] = workspaces.into();
         self.store.put("op", "config", &manifest);
     }
 
-    /// Sets who may ask, and waits until the first gateway asks for keys.
+    /// Configures workspaces and waits until all gateways require keys.
     pub async fn with_workspaces(self, workspaces: &[Value]) -> Self {
         self.set_workspaces(2, workspaces);
         for gateway in &self.gateways {
-            wait_until("keys are asked for", async || {
+            wait_until("keys are required", async || {
                 gateway.call(&call("book", "probe")).await.status() == 401
             })
             .await;
         }
-        self.engines.iter().for_each(StandinEngine::forget_runs);
+        self.engines.iter().for_each(StandinEngine::clear_runs);
         self
     }
 }
 
-/// Settings of instances that do all of their programs' work themselves, so that they conflict.
+/// Settings without coordinators, so that writes of different instances can conflict.
 pub fn alone() -> Value {
     json!({ "without": ["coordinators"] })
 }
@@ -319,7 +316,6 @@
     })
 }
 
-/// A configuration.
 pub fn manifest(version: u64, routes: &[Value]) -> Value {
     json!({
         "version": version,
@@ -335,12 +331,12 @@
     })
 }
 
-/// A workspace whose key is `key-` and its name.
+/// A workspace `NAME` with the API key `key-NAME`.
 pub fn workspace(name: &str) -> Value {
     json!({ "name": name, "api-keys": [format!("key-{name}")] })
 }
 
-/// A workspace that may ask so much.
+/// A workspace with a limit.
 pub fn limited(name: &str, rate: f64, burst: f64) -> Value {
     let mut limited = workspace(name);
     limited["rate-per-s"] = rate.into();
@@ -348,13 +344,13 @@
     limited
 }
 
-/// The same request with a key, and whatever else a caller adds.
+/// Adds headers, such as a key, to a request.
 pub fn keyed(request: &str, headers: &str) -> String {
     let (start, rest) = request.split_once("\r\n").expect("it has a first line");
     format!("{start}\r\n{headers}\r\n{rest}")
 }
 
-/// The same request from a workspace of [`workspace`].
+/// Adds the key of a workspace from [`workspace`] to a request.
 pub fn from(workspace: &str, request: &str) -> String {
     keyed(request, &format!("Merlinsaddle-Key: key-{workspace}"))
 }
@@ -367,7 +363,7 @@
     })
 }
 
-/// Turns, idempotent calls and calls that run at most once.
+/// One route for turns, one for idempotent calls, one for calls that run at most once.
 pub fn default_routes() -> Vec<Value> {
     let mut turn = route("turn", "stream");
     turn["retained"] = true.into();
@@ -375,12 +371,11 @@
     vec![turn, route("read", "safe"), route("book", "unsafe")]
 }
 
-/// A turn of a program.
 pub fn turn(id: &str, program: &str, previous: Option<&str>, input: &str) -> String {
     budgeted_turn(id, program, previous, input, 1_000)
 }
 
-/// A turn that may generate 6 tokens: three events of two.
+/// A turn that may generate 6 tokens, the size of a complete stand-in stream.
 pub fn budgeted_turn(
     id: &str,
     program: &str,
@@ -399,12 +394,11 @@
     )
 }
 
-/// What the engine is sent for a turn after `first`, by the stand-in's answer of three events.
+/// Prompt that the engine receives for the turn after `first`.
 pub fn chained(first: &str, next: &str) -> String {
     format!("{first}w1\nw2\nw3\n{next}")
 }
 
-/// A call of a service.
 pub fn call(route: &str, id: &str) -> String {
     format!(
         "POST /{route}/x HTTP/1.1\r\nHost: {HOST}\r\nMerlinsaddle-Request-Id: {id}\r\n\
--- a/tests/platform_standin/store.rs
+++ b/tests/platform_standin/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's store: rows, conditions, the feed, and its faults.
+//! Stand-in for the platform's store: rows, conditional writes, the change feed, and faults.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,24 +16,23 @@
 
 type Key = (String, String, String);
 
-/// How the store treats the calls that come next.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum StoreFault {
     #[default]
     None,
-    /// 503 to all.
+    /// Responds to all calls with 503.
     Busy,
-    /// No answer to any.
+    /// Does not respond to any call.
     Silent,
-    /// The next so many writes take effect and their answers are lost.
+    /// The next writes, up to this many, take effect but get no response.
     LoseWrites(u32),
-    /// The next so many writes take effect only after this time, and are not answered.
+    /// The next writes, up to this many, take effect after a delay and get no response.
     LateWrites(u32, Duration),
-    /// All answers take this long.
+    /// Delays all calls.
     Slow(Duration),
-    /// 429 to this many writes: a part has too many of them waiting.
+    /// Responds to this many writes with 429, as for a partition with too many writes queued.
     OverRate(u32),
-    /// 429 to writes beyond this many in each 100 ms.
+    /// Responds with 429 to writes beyond this many per 100 ms.
     WriteRate(u32),
 }
 
@@ -41,20 +40,20 @@
 struct State {
     rows: BTreeMap<Key, (u64, Option<Vec<u8>>)>,
     version: u64,
-    /// Changes at or below this version are forgotten.
-    forgotten: u64,
+    /// Changes up to this version have been compacted.
+    compacted: u64,
     fault: StoreFault,
-    /// Keys that each transaction put.
+    /// Keys written by each transaction.
     transactions: Vec<Vec<String>>,
-    /// The tenth of a second that is counted, and the writes in it.
-    tenth: (u128, u32),
-    /// Writes refused for their rate.
+    /// Index of the current 100 ms window, and the writes in it.
+    window: (u128, u32),
+    /// Writes rejected for their rate.
     refused: usize,
-    /// Targets of all calls.
+    /// Targets of all calls that were handled.
     targets: Vec<String>,
 }
 
-/// The stand-in; clones share it.
+/// Clones share the same state.
 #[derive(Clone)]
 pub struct StandinStore {
     state: Rc<RefCell<State>>,
@@ -69,10 +68,10 @@
 }
 
 impl StandinStore {
-    /// Starts it on a free port; its address.
+    /// Starts the store on a free port and returns its address.
     pub async fn start(&self, ip: &str) -> String {
         let listener = TcpListener::bind(format!("{ip}:0")).await.expect("a free port");
-        let address = listener.local_addr().expect("it is bound").to_string();
+        let address = listener.local_addr().expect("listener is bound").to_string();
         let store = self.clone();
         actix_rt::spawn(serve(listener, move |request| {
             let store = store.clone();
@@ -81,12 +80,12 @@
         address
     }
 
-    /// Serves the same rows at a further address with a fault of its own, while others go on: what an
-    /// instance behind a cut meets. Faults that count calls go on until they are ended.
+    /// Serves the same rows at another address with a separate fault, as for an instance behind a
+    /// network partition. Faults that count calls apply until they are reset.
     pub async fn start_with_fault(&self, ip: &str) -> (String, Rc<Cell<StoreFault>>) {
         let fault = Rc::new(Cell::new(StoreFault::None));
         let listener = TcpListener::bind((ip, 0)).await.expect("a free port");
-        let address = listener.local_addr().expect("it is bound").to_string();
+        let address = listener.local_addr().expect("listener is bound").to_string();
         let (store, own) = (self.clone(), fault.clone());
         let handle = move |request| {
             let (store, fault) = (store.clone(), own.get());
@@ -110,12 +109,12 @@
         }
     }
 
-    /// Writes that were refused for their rate.
+    /// Number of writes rejected for their rate.
     pub fn refused_writes(&self) -> usize {
         self.state.borrow().refused
     }
 
-    /// Calls that were let through, answered or not, whose target has this in it.
+    /// Number of handled calls whose target contains this text.
     pub fn calls_with(&self, text: &str) -> usize {
         self.state.borrow().targets.iter().filter(|target| target.contains(text)).count()
     }
@@ -128,7 +127,7 @@
         self.state.borrow().fault
     }
 
-    /// Writes a row as the operator or an upstream would.
+    /// Writes a row, as the operator or an upstream would.
     pub fn put(&self, table: &str, key: &str, value: &Value) {
         let bytes = serde_json::to_vec(value).expect("values serialize");
         self.write((table.into(), String::new(), key.into()), Some(bytes));
@@ -142,13 +141,13 @@
         self.write((table.into(), String::new(), key.into()), None);
     }
 
-    /// Forgets what has changed so far, though not the rows.
+    /// Drops the history of changes, but not the rows.
     pub fn compact(&self) {
         let mut state = self.state.borrow_mut();
-        state.forgotten = state.version;
+        state.compacted = state.version;
     }
 
-    /// Values of a table's rows whose keys begin so.
+    /// Values of the rows of a table whose keys start with `prefix`.
     pub fn values(&self, table: &str, prefix: &str) -> Vec<Vec<u8>> {
         let state = self.state.borrow();
         let rows = state
@@ -158,12 +157,12 @@
         rows.filter_map(|(_, (_, value))| value.clone()).collect()
     }
 
-    /// Keys that each transaction put.
+    /// Keys written by each transaction.
     pub fn transactions(&self) -> Vec<Vec<String>> {
         self.state.borrow().transactions.clone()
     }
 
-    /// Parts of a table that hold rows.
+    /// Partitions of a table that hold rows.
     pub fn part_names(&self, table: &str) -> BTreeSet<String> {
         let state = self.state.borrow();
         let own = state.rows.keys().filter(|(name, _, _)| name == table);
@@ -193,14 +192,14 @@
             | StoreFault::LoseWrites(_)
             | StoreFault::LateWrites(..)
             | StoreFault::OverRate(_) => {}
-            StoreFault::WriteRate(most) if request.target().starts_with("/rows-tx") => {
-                let tenth = self.started.elapsed().as_millis() / 100;
+            StoreFault::WriteRate(max_writes) if request.target().starts_with("/rows-tx") => {
+                let window = self.started.elapsed().as_millis() / 100;
                 let mut state = self.state.borrow_mut();
-                if state.tenth.0 != tenth {
-                    state.tenth = (tenth, 0);
+                if state.window.0 != window {
+                    state.window = (window, 0);
                 }
-                state.tenth.1 += 1;
-                if state.tenth.1 > most {
+                state.window.1 += 1;
+                if state.window.1 > max_writes {
                     state.refused += 1;
                     return vec![answer(429, "", b"")];
                 }
@@ -222,7 +221,7 @@
         vec![answer(status, "", &serde_json::to_vec(&body).expect("answers serialize"))]
     }
 
-    /// None if the answer is lost.
+    /// Returns none if the fault drops the response.
     async fn transaction(&self, request: &RawMessage) -> Option<(u16, Value)> {
         let body: Value = serde_json::from_slice(&request.body).expect("transactions are JSON");
         let fault = {
@@ -349,7 +348,7 @@
         let after: u64 = parameter(target, "after").parse().unwrap_or_default();
         let wait = parameter(target, "wait-ms").parse().unwrap_or_default();
         let table = parameter(target, "table");
-        if after < self.state.borrow().forgotten {
+        if after < self.state.borrow().compacted {
             return (410, json!({}));
         }
         let newer = || -> Vec<Key> {
