--- a/src/gateway/dialect.rs
+++ b/src/gateway/dialect.rs
@@ -34,7 +34,6 @@
     pub token_budget: Option<Tokens>,
     /// Limit for the tokens that this turn generates.
     pub max_output: Option<Tokens>,
-    /// Length of the complete prompt.
     pub prompt_tokens: Option<Tokens>,
     /// The turn that this one continues.
     pub previous: Option<TurnId>,
@@ -66,7 +65,6 @@
     pub last_event: Option<Box<str>>,
 }
 
-/// Decoded headers of an upstream's response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AnswerHead {
     /// Id of the request that the response belongs to.
@@ -77,7 +75,6 @@
     pub keep_alive: Option<Duration>,
 }
 
-/// Query of a caller for addresses of instances.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AddressQuery {
     pub zone: Box<str>,
@@ -107,7 +104,6 @@
 
     fn address_reply(&self, addresses: &[Box<str>], ttl: Duration) -> Bytes;
 
-    /// Path of the readiness probe.
     fn ready_path(&self) -> &'static str;
 
     fn commit_call(&self, transaction: &RowTransaction) -> StoreCall;
@@ -124,7 +120,6 @@
     fn changes_call(&self, table: &str, after: RowVersion, wait: Duration) -> StoreCall;
     fn changes_reply(&self, status: u16, body: &[u8]) -> Result<ChangesReply, StoreError>;
 
-    /// Table of the operator's routes.
     fn routes_table(&self) -> &'static str;
     /// Returns none if the row does not hold routes.
     fn route_table(&self, row: &StoredRow) -> Result<Option<RouteTable>, DecodeError>;
--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -13,7 +13,6 @@
     in_event: bool,
     events: u64,
     output: BytesMut,
-    /// Id of the event being parsed.
     id: Option<EventId>,
     last_id: Option<EventId>,
     out_of_order: bool,
@@ -83,7 +82,6 @@
         self.out_of_order
     }
 
-    /// Number of complete events.
     pub(crate) fn events(&self) -> u64 {
         self.events
     }
--- a/src/gateway/http/caller.rs
+++ b/src/gateway/http/caller.rs
@@ -100,12 +100,10 @@
         }
     }
 
-    /// True if part of the next request is buffered.
     pub(crate) fn has_input(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Reads the head of the next request.
     pub(crate) async fn head(&mut self, limits: &CallerLimits) -> Result<CallerRequest, ReadError> {
         let deadline = Instant::now() + limits.header_timeout;
         self.unread = true;
@@ -219,7 +217,6 @@
 }
 
 impl CallerWriter {
-    /// Shuts down the write half.
     pub(crate) async fn shut_down(&mut self) {
         // Fails if the caller has disconnected already.
         let _ = self.half.shutdown().await;
@@ -261,7 +258,6 @@
         codec.encode(Message::Item((response, size)), &mut self.buffer)
     }
 
-    /// Sends a complete response.
     pub(crate) async fn answer(
         &mut self,
         status: StatusCode,
--- a/src/gateway/http/mod.rs
+++ b/src/gateway/http/mod.rs
@@ -23,7 +23,6 @@
 const UNACKED_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Idle time before the first keep-alive probe and between probes; the kernel uses whole seconds.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Unanswered probes after which the connection is closed.
 const PROBE_RETRIES: u32 = 2;
 
 /// Enables the detection of peers that disappear without a reset, as after a power loss or a
--- a/src/gateway/http/pool.rs
+++ b/src/gateway/http/pool.rs
@@ -36,7 +36,6 @@
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 /// Subtracted from the announced time, so that no request races with the close by the peer.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
-/// Maximum number of idle connections per address.
 const MAX_IDLE_CONNECTIONS: usize = 12;
 /// Fits the largest page of the store, encoded.
 const MAX_EXCHANGE_BODY: usize = 4 * 1024 * 1024;
@@ -67,7 +66,6 @@
 struct IdleConnection {
     connection: UpstreamConnection,
     expires_at: Instant,
-    /// Time of the last response.
     used_at: Instant,
 }
 
@@ -194,7 +192,6 @@
         }
     }
 
-    /// Closes connections that have expired or were closed by the peer.
     pub(crate) fn prune(&self) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|_, connections| {
@@ -210,7 +207,6 @@
         self.idle.borrow_mut().remove(address);
     }
 
-    /// Sends a request and reads the complete response within `limit`.
     pub(crate) async fn exchange(
         &self,
         address: &str,
--- a/src/gateway/http/upstream.rs
+++ b/src/gateway/http/upstream.rs
@@ -34,11 +34,9 @@
     /// No response is being read, or its body is complete.
     Done,
     Framed(ClientPayloadCodec),
-    /// The body ends with the connection.
     UntilEnd,
 }
 
-/// Carries one request at a time.
 pub(crate) struct UpstreamConnection {
     stream: TcpStream,
     input: BytesMut,
--- a/src/gateway/latency.rs
+++ b/src/gateway/latency.rs
@@ -32,7 +32,6 @@
         Duration::from_secs_f64(self.seconds)
     }
 
-    /// Multiplies the mean by `factor` and clamps it to the bounds.
     pub(crate) fn scaled(&self, factor: f64, min: Duration, max: Duration) -> Duration {
         self.mean().mul_f64(factor).clamp(min, max)
     }
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -52,7 +52,6 @@
     }
 }
 
-/// Measurements of one completed call.
 pub(crate) struct CallSample<'a> {
     pub(crate) route: &'a str,
     pub(crate) outcome: &'static str,
@@ -153,7 +152,6 @@
         self.refusals.add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    /// Records the outcome of a request for a permit under the workspace's limit.
     pub(crate) fn record_quota(&self, workspace: &str, outcome: &'static str, elapsed: Duration) {
         let workspace = KeyValue::new("workspace", self.workspace_label(workspace));
         self.quota_requests.add(1, &[workspace, KeyValue::new("outcome", outcome)]);
@@ -170,7 +168,6 @@
         workspace.into()
     }
 
-    /// Records the outcome of a token reservation for a turn.
     pub(crate) fn record_reservation(&self, outcome: &'static str) {
         self.reserved.add(1, &[KeyValue::new("outcome", outcome)]);
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -61,14 +61,12 @@
     pub(crate) metrics: GatewayMetrics,
     pub(crate) stop: StopState,
     pub(crate) readiness: AdvertisedReadiness,
-    /// Admission control for new programs.
     pub(crate) gate: RefCell<AdmissionGate>,
     pub(crate) open_calls: Cell<u32>,
     pub(crate) calls_ended: Notify,
 }
 
 impl Gateway {
-    /// True if callers may be sent to this instance.
     pub(crate) fn is_ready(&self) -> bool {
         self.news.is_complete() && !self.is_draining()
     }
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -167,7 +167,6 @@
     RunningGateway { gateway }
 }
 
-/// Starts the quota enforcement that the settings select.
 fn launch_quotas(
     settings: &GatewaySettings,
     store: &Rc<StoreLink>,
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -36,7 +36,6 @@
     /// True if the store supports transactions that span partitions.
     #[serde(default)]
     pub store_across_parts: Option<bool>,
-    /// Memory limit of the process.
     pub memory_mb: u64,
     /// Time from SIGTERM to SIGKILL.
     pub grace_seconds: f64,
@@ -48,7 +47,6 @@
     /// Maximum time for which a revoked key is still accepted.
     #[serde(default)]
     pub revoke_millis: Option<u64>,
-    /// Window over which a workspace's requests are counted against its limit.
     #[serde(default)]
     pub quota_window_seconds: Option<f64>,
     /// Fraction by which a window may exceed the limit; 0 if absent.
--- a/src/gateway/stop.rs
+++ b/src/gateway/stop.rs
@@ -28,9 +28,7 @@
     Serving,
     /// Responses announce the close of the connection; new connections are still served.
     Draining,
-    /// Idle connections are closed.
     ClosingIdle,
-    /// New connections are not accepted.
     Refusing,
 }
 
--- a/tests/platform_standin/engine.rs
+++ b/tests/platform_standin/engine.rs
@@ -31,7 +31,6 @@
     Trailing,
     /// Delimits the response by the end of the connection.
     UntilClose,
-    /// Delays the response.
     Slow(Duration),
     /// Runs the request and responds with this error status.
     Fail(u16),
@@ -43,7 +42,6 @@
 struct State {
     acts: VecDeque<EngineAct>,
     runs: Vec<RawMessage>,
-    /// Requests received, run or not.
     seen: u32,
 }
 
@@ -53,7 +51,6 @@
     state: Rc<RefCell<State>>,
 }
 
-/// Number of events of each complete stream.
 pub const EVENTS: usize = 3;
 
 impl StandinEngine {
@@ -76,7 +73,6 @@
         self.state.borrow().runs.clone()
     }
 
-    /// Drops the scripted behavior that is left.
     pub fn clear_acts(&self) {
         self.state.borrow_mut().acts.clear();
     }
--- a/tests/platform_standin/http.rs
+++ b/tests/platform_standin/http.rs
@@ -9,10 +9,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// A request or a response as received.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RawMessage {
-    /// Start line.
     pub start: String,
     /// Names are in lower case.
     pub headers: BTreeMap<String, String>,
@@ -43,12 +41,10 @@
     }
 }
 
-/// Action of a stand-in on a connection after a request.
 #[derive(Debug, Clone)]
 pub enum Step {
     Send(Vec<u8>),
     Pause(Duration),
-    /// Closes the connection.
     Close,
     /// Never responds, and keeps the connection open.
     Hang,
--- a/tests/platform_standin/mod.rs
+++ b/tests/platform_standin/mod.rs
@@ -45,7 +45,6 @@
         Self::start_with(ip, store, gossip_port, seeds, &json!({}))
     }
 
-    /// Like [`TestGateway::start`], with settings that override the defaults.
     pub fn start_with(
         ip: &str,
         store: &str,
@@ -88,7 +87,6 @@
         format!("gateway-{ip}")
     }
 
-    /// Ends the gateway as SIGKILL would.
     pub async fn kill(&mut self) {
         self.end(Ending::Killed).await;
     }
@@ -98,7 +96,6 @@
         self.end(Ending::Stopped).await
     }
 
-    /// Starts a graceful shutdown; [`TestGateway::join`] waits for its end.
     pub fn begin_stop(&mut self) {
         let end = self.end.take().expect("gateway is running");
         let _ = end.send(Ending::Stopped);
@@ -123,7 +120,6 @@
         exchange(&self.settings.ready_address, request).await.map_or(0, |answer| answer.status())
     }
 
-    /// Addresses in the directory of this gateway.
     pub async fn named(&self) -> Vec<String> {
         let request = "GET /resolve?name=x&region=region&zone=zone-a HTTP/1.1\r\nhost: x\r\n\r\n";
         let answer = exchange(&self.settings.directory_address, request).await;
@@ -133,7 +129,6 @@
         list.iter().filter_map(|address| address.as_str().map(str::to_owned)).collect()
     }
 
-    /// Sends a request over a new connection and returns the response.
     pub async fn call(&self, request: &str) -> RawMessage {
         exchange(&self.settings.caller_address, request).await.expect("a response arrives")
     }
@@ -168,7 +163,6 @@
     }
 }
 
-/// A store, engines of one service, and gateways.
 pub struct Deployment {
     pub store: StandinStore,
     pub store_address: String,
@@ -177,12 +171,10 @@
 }
 
 impl Deployment {
-    /// Starts gateways and engines and waits until the gateways are ready.
     pub async fn start(gateways: usize, engines: usize) -> Self {
         Self::start_with(gateways, engines, &json!({})).await
     }
 
-    /// Like [`Deployment::start`], with settings that override the defaults.
     pub async fn start_with(gateways: usize, engines: usize, overrides: &Value) -> Self {
         let store = StandinStore::default();
         let store_address = store.start("127.0.0.1").await;
@@ -241,7 +233,6 @@
         .await;
     }
 
-    /// Asserts that the first gateway serves calls without this engine.
     pub async fn assert_serves_without(&self, engine: usize) {
         let before = self.engines[engine].seen();
         for number in 0..8 {
@@ -256,7 +247,6 @@
         self.list_engine_in("zone-a", id, address, state);
     }
 
-    /// Registers the incarnation of an engine with this start time.
     pub fn list_incarnation(&self, id: &str, address: &str, state: &str, started_at: u64) {
         let mut entry = engine_entry("zone-a", address, state);
         entry["born"] = started_at.into();
@@ -271,7 +261,6 @@
         &self.gateways[0]
     }
 
-    /// Requests that were run by any engine.
     pub fn runs(&self) -> Vec<RawMessage> {
         self.engines.iter().flat_map(StandinEngine::runs).collect()
     }
@@ -336,7 +325,6 @@
     json!({ "name": name, "api-keys": [format!("key-{name}")] })
 }
 
-/// A workspace with a limit.
 pub fn limited(name: &str, rate: f64, burst: f64) -> Value {
     let mut limited = workspace(name);
     limited["rate-per-s"] = rate.into();
--- a/tests/platform_standin/store.rs
+++ b/tests/platform_standin/store.rs
@@ -28,7 +28,6 @@
     LoseWrites(u32),
     /// The next writes, up to this many, take effect after a delay and get no response.
     LateWrites(u32, Duration),
-    /// Delays all calls.
     Slow(Duration),
     /// Responds to this many writes with 429, as for a partition with too many writes queued.
     OverRate(u32),
@@ -43,11 +42,9 @@
     /// Changes up to this version have been compacted.
     compacted: u64,
     fault: StoreFault,
-    /// Keys written by each transaction.
     transactions: Vec<Vec<String>>,
     /// Index of the current 100 ms window, and the writes in it.
     window: (u128, u32),
-    /// Writes rejected for their rate.
     refused: usize,
     /// Targets of all calls that were handled.
     targets: Vec<String>,
@@ -68,7 +65,6 @@
 }
 
 impl StandinStore {
-    /// Starts the store on a free port and returns its address.
     pub async fn start(&self, ip: &str) -> String {
         let listener = TcpListener::bind(format!("{ip}:0")).await.expect("a free port");
         let address = listener.local_addr().expect("listener is bound").to_string();
@@ -109,7 +105,6 @@
         }
     }
 
-    /// Number of writes rejected for their rate.
     pub fn refused_writes(&self) -> usize {
         self.state.borrow().refused
     }
@@ -157,12 +152,10 @@
         rows.filter_map(|(_, (_, value))| value.clone()).collect()
     }
 
-    /// Keys written by each transaction.
     pub fn transactions(&self) -> Vec<Vec<String>> {
         self.state.borrow().transactions.clone()
     }
 
-    /// Partitions of a table that hold rows.
     pub fn part_names(&self, table: &str) -> BTreeSet<String> {
         let state = self.state.borrow();
         let own = state.rows.keys().filter(|(name, _, _)| name == table);
