--- a/src/gateway/attempt/mod.rs
+++ b/src/gateway/attempt/mod.rs
@@ -224,7 +224,7 @@
         log: &AttemptLog,
     ) -> Result<UpstreamAnswer, AttemptError> {
         let guard = AttemptGuard::new(self, call, choice);
-        let connection = self.pool.get_fresh(&choice.address, log.unreached.get()).await;
+        let connection = self.pool.get_for_attempt(&choice.address, log.unreached.get()).await;
         let mut connection = connection.map_err(|error| {
             log::debug!("event=connect_failed upstream={} error=\"{error}\"", choice.id);
             log.unreached.set(log.unreached.get() + 1);
--- a/src/gateway/http/pool.rs
+++ b/src/gateway/http/pool.rs
@@ -131,9 +131,9 @@
         Ok(UpstreamConnection::new(stream))
     }
 
-    /// Returns a new or recently used connection for a request that can fail over to another
-    /// upstream. The connect timeout doubles with each upstream that was `tried` before.
-    pub(crate) async fn get_fresh(
+    /// Returns an idle or a new connection for a request that can fail over to another upstream.
+    /// The connect timeout doubles with each upstream that was `tried` before.
+    pub(crate) async fn get_for_attempt(
         &self,
         address: &str,
         tried: u32,
--- a/src/gateway/http/pool_tests.rs
+++ b/src/gateway/http/pool_tests.rs
@@ -14,16 +14,16 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("listener is bound").to_string();
     let pool = ConnectionPool::default();
-    let first = pool.get_fresh(&address, 0).await.expect("connects");
+    let first = pool.get_for_attempt(&address, 0).await.expect("connects");
     let _accepted = listener.accept().await.expect("connection arrives");
     pool.put(&address, first, None);
     pause();
     advance(Duration::from_millis(900)).await;
-    let recent = pool.get_fresh(&address, 0).await.expect("connection is pooled");
+    let recent = pool.get_for_attempt(&address, 0).await.expect("connection is pooled");
     pool.put(&address, recent, None);
     advance(Duration::from_millis(1_100)).await;
     tokio::time::resume();
-    let _replacement = pool.get_fresh(&address, 0).await.expect("connects");
+    let _replacement = pool.get_for_attempt(&address, 0).await.expect("connects");
     listener.accept().await.expect("a new connection arrives");
     assert!(pool.has_idle(&address), "the stale connection is still in the pool");
 }
@@ -34,17 +34,17 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("listener is bound").to_string();
     let pool = ConnectionPool::default();
-    let mut connection = pool.get_fresh(&address, 0).await.expect("connects");
+    let mut connection = pool.get_for_attempt(&address, 0).await.expect("connects");
     let _accepted = listener.accept().await.expect("connection arrives");
     pause();
     for _ in 0..100 {
         pool.put(&address, connection, None);
         advance(Duration::from_millis(200)).await;
-        connection = pool.get_fresh(&address, 0).await.expect("connection is pooled");
+        connection = pool.get_for_attempt(&address, 0).await.expect("connection is pooled");
     }
     pool.put(&address, connection, None);
     advance(Duration::from_millis(1_100)).await;
-    pool.get_fresh(&address, 0).await.expect("connection is pooled");
+    pool.get_for_attempt(&address, 0).await.expect("connection is pooled");
     assert!(!pool.has_idle(&address));
 }
 
@@ -68,7 +68,7 @@
     let pool = ConnectionPool::default();
     let connect_time = async |tried| {
         let started = Instant::now();
-        assert!(pool.get_fresh(&bound.to_string(), tried).await.is_err());
+        assert!(pool.get_for_attempt(&bound.to_string(), tried).await.is_err());
         started.elapsed()
     };
     assert!(connect_time(0).await < Duration::from_millis(200));
