--- a/src/gateway/attempt/mod.rs
+++ b/src/gateway/attempt/mod.rs
@@ -215,7 +215,7 @@
         let request = ChoiceRequest {
             service: &call.service,
             zone: &self.settings.zone,
-            blocks: &call.head.parts,
+            blocks: &call.head.blocks,
             holder: call.holder.as_ref(),
             affinity,
             tried,
@@ -234,7 +234,7 @@
     ) -> Result<UpstreamAnswer, AttemptError> {
         let guard = AttemptGuard::new(self, call, choice);
         let connection =
-            self.pool.get_proven(&choice.address, progress.connect_failures.get()).await;
+            self.pool.get_for_attempt(&choice.address, progress.connect_failures.get()).await;
         let mut connection = connection.map_err(|error| {
             log::debug!("event=connect_failed upstream={} error=\"{error}\"", choice.id);
             progress.connect_failures.set(progress.connect_failures.get() + 1);
@@ -291,7 +291,7 @@
         progress: &AttemptProgress,
     ) -> RequestHead {
         let attempt = AttemptHead {
-            expect: choice.id.clone(),
+            upstream: choice.id.clone(),
             deadline: call.deadline.saturating_duration_since(Instant::now()),
             priority: call.priority,
             workspace: call.workspace.as_ref().map(|workspace| workspace.name.clone()),
--- a/src/gateway/call/mod.rs
+++ b/src/gateway/call/mod.rs
@@ -109,11 +109,11 @@
             route: &call.route.name,
             outcome: end.outcome,
             elapsed,
-            first: end.first_byte_after,
-            tries: progress.tries.get(),
+            first_byte: end.first_byte_after,
+            attempts: progress.tries.get(),
             sent_after: progress.sent_after.get(),
         };
-        self.metrics.call_ended(&sample);
+        self.metrics.record_call(&sample);
         log::info!(
             "event=call_ended request={} program={} route={} kind={} outcome={} status={} \
              upstream={} tries={} runs={} coordinator={} claimed_ms={} sent_ms={} first_ms={} \
@@ -150,7 +150,7 @@
             refusal.reason,
             arrived.elapsed().as_millis()
         );
-        self.metrics.refused(refusal.reason);
+        self.metrics.record_refusal(refusal.reason);
         // The rest of the body would be parsed as the next request.
         self.send_refusal(refusal, writer, true).await
     }
@@ -201,7 +201,7 @@
     }
 
     async fn end_refused(&self, refusal: &Refusal, writer: &mut CallerWriter) -> CallEnd {
-        self.metrics.refused(refusal.reason);
+        self.metrics.record_refusal(refusal.reason);
         let keep_alive = self.send_refusal(refusal, writer, false).await;
         let status = refusal.status.as_u16();
         CallEnd {
--- a/src/gateway/call/relay.rs
+++ b/src/gateway/call/relay.rs
@@ -14,7 +14,7 @@
 use crate::core::ids::UpstreamId;
 use crate::core::upstreams::AttemptResult;
 use crate::gateway::attempt::{AttemptProgress, UpstreamAnswer};
-use crate::gateway::events::{EventParser, WholeEvents};
+use crate::gateway::events::{EventFramer, EventParser};
 use crate::gateway::http::{AnswerError, CallerWriter};
 use crate::gateway::refusal::Refusal;
 use crate::gateway::{Gateway, GatewayMechanism};
@@ -31,7 +31,7 @@
 struct RelayState {
     events: EventParser,
     /// Present for resumable streams, of which only complete events are forwarded.
-    complete_events: Option<WholeEvents>,
+    complete_events: Option<EventFramer>,
     /// Time from the request's arrival until the first byte of the body was forwarded.
     first_byte_after: Option<Duration>,
     /// Arrival of the first byte from the current upstream.
@@ -45,7 +45,7 @@
         let is_resumable = call.route.is_resumable && answer.is_event_stream();
         Self {
             events: EventParser::default(),
-            complete_events: is_resumable.then(WholeEvents::default),
+            complete_events: is_resumable.then(EventFramer::default),
             first_byte_after: None,
             first_byte_at: None,
             earlier_events: 0,
@@ -54,7 +54,7 @@
 
     /// False in the middle of an event of a resumable stream.
     fn is_complete(&self) -> bool {
-        self.complete_events.as_ref().is_none_or(WholeEvents::is_empty)
+        self.complete_events.as_ref().is_none_or(EventFramer::is_empty)
     }
 
     /// Drops the incomplete event at the end of the broken response.
@@ -134,7 +134,7 @@
                 continue;
             }
             let events = state.events.push(&chunk);
-            if state.complete_events.is_some() && state.events.is_disordered() {
+            if state.complete_events.is_some() && state.events.is_out_of_order() {
                 return Err(RelayError::Broken(AnswerError::Foreign));
             }
             if let Some(turn) = turn.as_mut() {
@@ -168,7 +168,7 @@
         drop((connection, guard));
         let last = state.events.last_id().cloned();
         let is_known = state.events.events() == 0 || last.is_some();
-        if state.complete_events.is_none() || !is_known || state.events.is_disordered() {
+        if state.complete_events.is_none() || !is_known || state.events.is_out_of_order() {
             return Err(choice.id);
         }
         state.reset_for_resume();
@@ -188,7 +188,7 @@
             last.as_deref().unwrap_or("-")
         );
         // If nothing was sent yet, the caller gets the headers of the new upstream.
-        if writer.take_back() && self.start_answer(&next, writer).is_err() {
+        if writer.discard_unsent() && self.start_answer(&next, writer).is_err() {
             return Err(next.choice.id);
         }
         Ok(next)
@@ -213,10 +213,10 @@
         }
         self.pool.put(&choice.address, connection, info.keep_alive);
         if let Some(mut turn) = turn.filter(|_| status == StatusCode::OK) {
-            if !events.is_whole() {
+            if !events.is_complete() {
                 return CallEnd::aborted("stream_torn", Some(upstream));
             }
-            turn.record_holder(call.head.line.as_ref(), &choice);
+            turn.record_holder(call.head.branch.as_ref(), &choice);
             if turn.is_persisted() && !turn.persist(&choice, events, call.deadline).await {
                 return CallEnd::aborted("turn_not_kept", Some(upstream));
             }
@@ -234,7 +234,7 @@
 
     /// Truncates a response that was partly sent, otherwise refuses the call.
     async fn end_broken(&self, upstream: UpstreamId, writer: &mut CallerWriter) -> CallEnd {
-        if writer.take_back() {
+        if writer.discard_unsent() {
             let refusal = Refusal::unknown(StatusCode::BAD_GATEWAY, "answer_broken");
             return self.end_refused(&refusal, writer).await;
         }
@@ -261,7 +261,7 @@
             return;
         }
         let mut upstreams = self.feed.upstreams.borrow_mut();
-        for block in &call.head.parts {
+        for block in &call.head.blocks {
             upstreams.record_resident(upstream, &block.id);
         }
     }
--- a/src/gateway/call/turn.rs
+++ b/src/gateway/call/turn.rs
@@ -155,7 +155,7 @@
             // Retention counts from the end of the turn, which is at the latest its deadline.
             retention: retention + call.deadline.saturating_duration_since(Instant::now()),
             scope,
-            line: call.head.line.clone(),
+            line: call.head.branch.clone(),
             only_known,
         }
     }
@@ -180,7 +180,7 @@
         }
         let claimed = self.claim_with_outage_wait(call, coordinator, claim, claim_deadline).await;
         progress.claimed_after.set(Some(call.arrived.elapsed()));
-        self.metrics.reserved(match &claimed {
+        self.metrics.record_reservation(match &claimed {
             Ok(_) => "reserved",
             Err(ClaimError::Exhausted { .. }) => "exhausted",
             Err(ClaimError::NoSuchTurn) => "no_such_turn",
--- a/src/gateway/feed/mod.rs
+++ b/src/gateway/feed/mod.rs
@@ -288,7 +288,7 @@
 
     fn close_stale_connections(&self, upstreams: &mut UpstreamTable) {
         for address in upstreams.take_stale_addresses() {
-            self.pool.forget(&address);
+            self.pool.close_idle(&address);
         }
     }
 }
--- a/src/gateway/feed/reader.rs
+++ b/src/gateway/feed/reader.rs
@@ -73,7 +73,7 @@
                 Ok(()) => self.set_reader(Some(&reader)),
                 Err(failure) => {
                     log::info!("event=news_reader_passed_over peer={reader} error=\"{failure}\"");
-                    failed.note(&reader);
+                    failed.record(&reader);
                     self.set_reader(None);
                 }
             }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,22 +1,19 @@
-//! Serves callers that know nothing of owners: any instance serves any request, and the
-//! platform's store judges what must be unique.
-//!
-//! [`dialect`] is the border to a platform's names and formats; everything else is in the
-//! product's own terms.
+//! Gateway in which any instance serves any request. Conditional writes to the platform's store
+//! ensure uniqueness, and [`dialect`] isolates the names and formats of the platform.
 
 mod attempt;
 mod call;
 mod committer;
-mod desk;
 pub mod dialect;
 mod events;
 mod feed;
+mod handlers;
 mod http;
 mod latency;
 mod members;
 mod metrics;
-mod offer;
 mod quotas;
+mod readiness;
 mod refusal;
 pub mod rows;
 mod run;
@@ -40,17 +37,17 @@
 use http::ConnectionPool;
 use members::MemberView;
 use metrics::{GatewayMetrics, GatewaySample};
-use offer::CallerOffer;
 use quotas::QuotaKeeper;
+use readiness::AdvertisedReadiness;
 use stop::StopState;
 use store::StoreLink;
 use turns::TurnManager;
 
 pub use quotas::LIMITS_PATH;
 pub use run::{GatewaySockets, RunningGateway, launch_gateway};
-pub use settings::{GatewayMechanism, GatewaySettings, QuotaWay};
+pub use settings::{GatewayMechanism, GatewaySettings, QuotaMode};
 
-/// One running gateway. All its tasks share it on one thread.
+/// State of a running gateway, shared by its tasks on one thread.
 pub(crate) struct Gateway {
     pub(crate) settings: GatewaySettings,
     pub(crate) dialect: Rc<dyn GatewayDialect>,
@@ -63,15 +60,13 @@
     pub(crate) quotas: Rc<dyn QuotaKeeper>,
     pub(crate) metrics: GatewayMetrics,
     pub(crate) stop: StopState,
-    pub(crate) offer: CallerOffer,
-    /// Which new programs are let in.
+    pub(crate) readiness: AdvertisedReadiness,
     pub(crate) gate: RefCell<AdmissionGate>,
     pub(crate) open_calls: Cell<u32>,
     pub(crate) calls_ended: Notify,
 }
 
 impl Gateway {
-    /// Whether callers may be sent here.
     pub(crate) fn is_ready(&self) -> bool {
         self.feed.is_complete() && !self.is_draining()
     }
@@ -80,12 +75,11 @@
         self.stop.is_draining()
     }
 
-    /// Brings the gauges up to date.
     pub(crate) fn sample_metrics(&self) {
         self.metrics.sample(&GatewaySample {
             members: self.members.alive() as u64,
             upstreams: self.feed.upstreams.borrow().len() as u64,
-            upstreams_aside: self.feed.upstreams.borrow().ejected_count(Instant::now()) as u64,
+            upstreams_ejected: self.feed.upstreams.borrow().ejected_count(Instant::now()) as u64,
             routes_version: self.feed.routes().map_or(0, |table| table.version),
             routes_age: self.feed.routes_age(),
             cached_bytes: self.turns.cached_bytes() as u64,
--- a/src/gateway/store/health.rs
+++ b/src/gateway/store/health.rs
@@ -91,7 +91,7 @@
         self.record_answer();
         self.direct_answered_at = Some(Instant::now());
         if !held {
-            self.latency.answered(begun);
+            self.latency.record_since(begun);
         }
         if self.direct_failed_at.take().is_some() {
             log::info!("event=dependency_regained dependency=store way=direct");
--- a/src/gateway/store/paths.rs
+++ b/src/gateway/store/paths.rs
@@ -134,15 +134,15 @@
 
     async fn send_direct(&self, call: &StoreCall, fresh: bool, timeout: Duration) -> StoreAnswer {
         if fresh {
-            self.pool.forget(&self.address);
+            self.pool.close_idle(&self.address);
         }
         let body = call.body.clone();
         let method = call.method.clone();
         let begun = Instant::now();
         let answer = self.pool.exchange(&self.address, method, &call.target, body, timeout).await;
-        self.meter.call_ended(call.kind, call_outcome(&answer), begun.elapsed());
+        self.meter.record_call(call.kind, call_outcome(&answer), begun.elapsed());
         let received = answer.as_ref().map_or(0, |(_, body)| body.len());
-        self.meter.moved(call.kind, call.body.len(), received);
+        self.meter.record_bytes(call.kind, call.body.len(), received);
         let error = match answer {
             Ok((StatusCode::TOO_MANY_REQUESTS, _)) => {
                 self.health.borrow_mut().record_rate_refusal(begun);
--- a/src/gateway/store/relay_order.rs
+++ b/src/gateway/store/relay_order.rs
@@ -28,7 +28,7 @@
             self.last_success = Some(peer.into());
             return;
         }
-        self.failed.note(peer);
+        self.failed.record(peer);
         if self.last_success.as_deref() == Some(peer) {
             self.last_success = None;
         }
--- a/src/gateway/turns/coordinate.rs
+++ b/src/gateway/turns/coordinate.rs
@@ -175,18 +175,18 @@
         match response {
             Ok(response) => {
                 if extra_time.is_zero() {
-                    coordinators.latency.answered(start);
+                    coordinators.latency.record_since(start);
                 }
                 Ok(response)
             }
             Err(error) => {
-                coordinators.failed.note(peer);
+                coordinators.failed.record(peer);
                 log::info!(
                     "event=coordinator_passed_over peer={peer} path={path} error=\"{error}\""
                 );
                 match error {
                     ExchangeError::NotSent(_) => Err(PeerFailure::NotSent),
-                    ExchangeError::Lost(_) | ExchangeError::Late => Err(PeerFailure::Unknown),
+                    ExchangeError::Lost(_) | ExchangeError::TimedOut => Err(PeerFailure::Unknown),
                 }
             }
         }
--- a/tests/feed_readers.rs
+++ b/tests/feed_readers.rs
@@ -82,7 +82,7 @@
     deployment.list_engine("e0", "127.0.0.1:1", "draining");
     assert!(is_in_force_in_time(deployment.gateway(), "added").await);
     tokio::time::sleep(Duration::from_millis(800)).await;
-    deployment.serves_without(0).await;
+    deployment.assert_serves_without(0).await;
 }
 
 /// Guards against a follower that trusts the outdated data of a reader without access to the store.
--- a/tests/gateway_calls.rs
+++ b/tests/gateway_calls.rs
@@ -6,7 +6,7 @@
 
 use platform_standin::engine::{EVENTS, EngineAct};
 use platform_standin::http::Wire;
-use platform_standin::{Deployment, HOST, LIMIT, call, turn, wait_until};
+use platform_standin::{Deployment, HOST, TEST_TIMEOUT, call, turn, wait_until};
 use rstest::rstest;
 use tokio::net::TcpListener;
 use tokio::time::{Instant, timeout};
@@ -128,7 +128,7 @@
     }
     let disconnected_at = Instant::now();
     drop(caller);
-    assert!(timeout(LIMIT, upstream.ends()).await.expect("the connection ends"));
+    assert!(timeout(TEST_TIMEOUT, upstream.ends()).await.expect("the connection ends"));
     assert!(
         disconnected_at.elapsed() < Duration::from_millis(500),
         "it took {:?}",
@@ -219,7 +219,7 @@
 #[actix_rt::test]
 async fn call_to_a_silent_upstream_ends_at_the_deadline() {
     let deployment = Deployment::start(1, 1).await;
-    deployment.engines[0].act(EngineAct::Slow(LIMIT));
+    deployment.engines[0].act(EngineAct::Slow(TEST_TIMEOUT));
     let request = call("book", "b1").replace("5000", "300");
     let started_at = Instant::now();
     let answer = deployment.gateway().call(&request).await;
--- a/tests/gateway_feed.rs
+++ b/tests/gateway_feed.rs
@@ -72,7 +72,7 @@
     let deployment = Deployment::start(1, 2).await;
     deployment.list_engine("e0", "127.0.0.1:1", "draining");
     tokio::time::sleep(Duration::from_secs(2)).await;
-    deployment.serves_without(0).await;
+    deployment.assert_serves_without(0).await;
 }
 
 /// Guards against callers sent to an instance that reaches the store through a peer only, and
