--- a/src/gateway/quotas/asker.rs
+++ b/src/gateway/quotas/client.rs
@@ -67,7 +67,7 @@
 }
 
 /// Limits kept by one member for each workspace.
-pub(crate) struct LimiterQuota {
+pub(crate) struct QuotaClient {
     me: InstanceId,
     desk: RefCell<LimiterRegistry>,
     /// When the instance was last seen running.
@@ -83,7 +83,7 @@
     unheard: Cell<u32>,
 }
 
-impl LimiterQuota {
+impl QuotaClient {
     pub(crate) fn new(
         me: InstanceId,
         bounds: QuotaBounds,
@@ -162,7 +162,7 @@
     }
 }
 
-impl QuotaListener for LimiterQuota {
+impl QuotaListener for QuotaClient {
     fn take(&self, from: &str, message: QuotaMessage) {
         match message {
             QuotaMessage::Ask { id, workspace, ask } => {
@@ -191,7 +191,7 @@
     }
 }
 
-impl LimiterQuota {
+impl QuotaClient {
     /// Whom to ask in a round: addresses of peers, and whether this instance is among them.
     fn targets(&self, workspace: &str, round: usize) -> (Vec<Box<str>>, bool) {
         self.with_view(|view| {
@@ -291,7 +291,7 @@
 }
 
 #[async_trait(?Send)]
-impl QuotaKeeper for LimiterQuota {
+impl QuotaKeeper for QuotaClient {
     async fn ask(
         &self,
         workspace: &WorkspaceId,
@@ -338,5 +338,5 @@
 }
 
 #[cfg(test)]
-#[path = "asker_tests.rs"]
+#[path = "client_tests.rs"]
 mod tests;
--- a/src/gateway/quotas/asker_tests.rs
+++ b/src/gateway/quotas/client_tests.rs
@@ -6,7 +6,7 @@
 
 use tokio::time::{Instant, advance, sleep};
 
-use super::LimiterQuota;
+use super::QuotaClient;
 use crate::core::ids::WorkspaceId;
 use crate::core::quotas::{
     LimiterStatus, QuotaBounds, QuotaLimit, QuotaMember, QuotaReply, QuotaRequest,
@@ -72,7 +72,7 @@
 }
 
 /// An instance `me` among others.
-fn asker(others: &[&str], least: Option<usize>) -> (Rc<FakePeers>, Rc<LimiterQuota>) {
+fn asker(others: &[&str], least: Option<usize>) -> (Rc<FakePeers>, Rc<QuotaClient>) {
     let members = ["me"].iter().chain(others).map(|name| member(name)).collect();
     let peers = Rc::new(FakePeers {
         members: RefCell::new(members),
@@ -81,12 +81,12 @@
     });
     let least = LeastMembers::new(Cell::new(least));
     let limiter =
-        LimiterQuota::new("me".into(), BOUNDS, true, peers.clone(), Rc::new(FakeSource), least);
+        QuotaClient::new("me".into(), BOUNDS, true, peers.clone(), Rc::new(FakeSource), least);
     (peers, Rc::new(limiter))
 }
 
 /// A workspace that another one than this instance limits, with its address and the deputy's.
-fn foreign(limiter: &LimiterQuota) -> (WorkspaceId, String, String) {
+fn foreign(limiter: &QuotaClient) -> (WorkspaceId, String, String) {
     for number in 0.. {
         let workspace: WorkspaceId = format!("w{number}").into();
         let asked = limiter.with_view(|view| {
@@ -130,7 +130,7 @@
 /// Answers the first question that was sent to an address, in the background.
 fn answer(
     peers: &Rc<FakePeers>,
-    limiter: &Rc<LimiterQuota>,
+    limiter: &Rc<QuotaClient>,
     from: &str,
     reply: QuotaReply,
     chief: Option<&str>,
@@ -198,7 +198,7 @@
     }
 }
 
-fn level(limiter: &LimiterQuota) -> f64 {
+fn level(limiter: &QuotaClient) -> f64 {
     limiter.samples().first().expect("it limits one").level
 }
 
--- a/src/gateway/quotas/mod.rs
+++ b/src/gateway/quotas/mod.rs
@@ -1,6 +1,6 @@
 //! Limits of workspaces over all instances: asks whoever keeps them, and keeps some for the others.
 
-mod asker;
+mod client;
 mod messages;
 #[cfg(test)]
 mod messages_tests;
@@ -15,7 +15,7 @@
 use crate::core::ids::WorkspaceId;
 use crate::core::quotas::{LimitSample, QuotaLimit, QuotaMember, QuotaRequest};
 
-pub(crate) use self::asker::LimiterQuota;
+pub(crate) use self::client::QuotaClient;
 pub(crate) use self::messages::QuotaMessage;
 pub(crate) use self::shares::ShareQuota;
 pub(crate) use self::size::{LeastMembers, SizeKeeper};
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -19,7 +19,7 @@
 use super::metrics::GatewayMetrics;
 use super::news::{NewsReaders, StoreNews};
 use super::offer::CallerOffer;
-use super::quotas::{LeastMembers, LimiterQuota, QuotaKeeper, ShareQuota, SizeKeeper};
+use super::quotas::{LeastMembers, QuotaClient, QuotaKeeper, ShareQuota, SizeKeeper};
 use super::server::serve_callers;
 use super::settings::{GatewayMechanism, GatewaySettings, QuotaWay};
 use super::stop::StopState;
@@ -187,7 +187,7 @@
         return Rc::new(ShareQuota::new(bounds, members.clone(), least));
     }
     let by_program = settings.uses(GatewayMechanism::ProgramQuota);
-    let limiter = LimiterQuota::new(me, bounds, by_program, members.clone(), news.clone(), least);
+    let limiter = QuotaClient::new(me, bounds, by_program, members.clone(), news.clone(), least);
     let limiter = Rc::new(limiter);
     members.set_quotas(limiter.clone());
     actix_rt::spawn(limiter.clone().run());
