--- a/src/gateway/quotas/size.rs
+++ b/src/gateway/quotas/member_counter.rs
@@ -35,14 +35,14 @@
 pub(crate) type LeastMembers = Rc<Cell<Option<usize>>>;
 
 /// Reads the number of members at the start and keeps it up to date.
-pub(crate) struct SizeKeeper {
+pub(crate) struct MemberCounter {
     me: InstanceId,
     store: Rc<StoreLink>,
     peers: Rc<dyn QuotaPeers>,
     least: LeastMembers,
 }
 
-impl SizeKeeper {
+impl MemberCounter {
     pub(crate) fn new(
         me: InstanceId,
         store: Rc<StoreLink>,
--- a/src/gateway/quotas/mod.rs
+++ b/src/gateway/quotas/mod.rs
@@ -1,11 +1,11 @@
 //! Limits of workspaces over all instances: asks whoever keeps them, and keeps some for the others.
 
 mod client;
+mod member_counter;
 mod messages;
 #[cfg(test)]
 mod messages_tests;
 mod shares;
-mod size;
 
 use std::time::Duration;
 
@@ -16,9 +16,9 @@
 use crate::core::quotas::{LimitSample, QuotaLimit, QuotaMember, QuotaRequest};
 
 pub(crate) use self::client::QuotaClient;
+pub(crate) use self::member_counter::{LeastMembers, MemberCounter};
 pub(crate) use self::messages::QuotaMessage;
 pub(crate) use self::shares::ShareQuota;
-pub(crate) use self::size::{LeastMembers, SizeKeeper};
 
 /// Path of the limits in force, on the address for peers.
 pub const LIMITS_PATH: &str = "/limits";
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -19,7 +19,7 @@
 use super::metrics::GatewayMetrics;
 use super::news::{NewsReaders, StoreNews};
 use super::offer::CallerOffer;
-use super::quotas::{LeastMembers, QuotaClient, QuotaKeeper, ShareQuota, SizeKeeper};
+use super::quotas::{LeastMembers, MemberCounter, QuotaClient, QuotaKeeper, ShareQuota};
 use super::server::serve_callers;
 use super::settings::{GatewayMechanism, GatewaySettings, QuotaWay};
 use super::stop::StopState;
@@ -180,7 +180,7 @@
 ) -> Rc<dyn QuotaKeeper> {
     let least = LeastMembers::default();
     let me = settings.instance.clone();
-    let size = SizeKeeper::new(me.clone(), store.clone(), members.clone(), least.clone());
+    let size = MemberCounter::new(me.clone(), store.clone(), members.clone(), least.clone());
     actix_rt::spawn(size.run());
     let bounds = settings.quota_bounds();
     if settings.quota_way == QuotaWay::Shares {
