--- a/src/gateway/quotas/client.rs
+++ b/src/gateway/quotas/client.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::messages::QuotaMessage;
-use super::{LeastMembers, QuotaKeeper, QuotaOutcome, QuotaPeers, QuotaPlace, QuotaSource};
+use super::{MinMembers, QuotaKeeper, QuotaOutcome, QuotaPeers, QuotaPlace, QuotaSource};
 use crate::core::ids::{InstanceId, WorkspaceId};
 use crate::core::quotas::{
     LimitSample, LimiterRegistry, LimiterRequest, QuotaBounds, QuotaLimit, QuotaReply,
@@ -76,7 +76,7 @@
     doubts: Cell<u64>,
     peers: Rc<dyn QuotaPeers>,
     source: Rc<dyn QuotaSource>,
-    least: LeastMembers,
+    least: MinMembers,
     seen: RefCell<Option<SeenMembers>>,
     waiting: RefCell<HashMap<QuotaRequestId, UnboundedSender<HeardReply>>>,
     silent: RefCell<FailedPeers>,
@@ -90,7 +90,7 @@
         by_program: bool,
         peers: Rc<dyn QuotaPeers>,
         source: Rc<dyn QuotaSource>,
-        least: LeastMembers,
+        least: MinMembers,
     ) -> Self {
         Self {
             me,
--- a/src/gateway/quotas/client_tests.rs
+++ b/src/gateway/quotas/client_tests.rs
@@ -13,7 +13,7 @@
 };
 use crate::gateway::members::QuotaListener;
 use crate::gateway::quotas::{
-    LeastMembers, QuotaKeeper, QuotaMessage, QuotaOutcome, QuotaPeers, QuotaSource,
+    MinMembers, QuotaKeeper, QuotaMessage, QuotaOutcome, QuotaPeers, QuotaSource,
 };
 
 const BOUNDS: QuotaBounds = QuotaBounds { window: Duration::from_secs(5), over: 0.0, slack: 0.0 };
@@ -79,7 +79,7 @@
         doubts: Cell::new(0),
         sent: RefCell::default(),
     });
-    let least = LeastMembers::new(Cell::new(least));
+    let least = MinMembers::new(Cell::new(least));
     let limiter =
         QuotaClient::new("me".into(), BOUNDS, true, peers.clone(), Rc::new(FakeSource), least);
     (peers, Rc::new(limiter))
--- a/src/gateway/quotas/member_counter.rs
+++ b/src/gateway/quotas/member_counter.rs
@@ -32,14 +32,14 @@
 const CHANGE: f64 = 0.05;
 
 /// Number of members at least; none while it was not read.
-pub(crate) type LeastMembers = Rc<Cell<Option<usize>>>;
+pub(crate) type MinMembers = Rc<Cell<Option<usize>>>;
 
 /// Reads the number of members at the start and keeps it up to date.
 pub(crate) struct MemberCounter {
     me: InstanceId,
     store: Rc<StoreLink>,
     peers: Rc<dyn QuotaPeers>,
-    least: LeastMembers,
+    least: MinMembers,
 }
 
 impl MemberCounter {
@@ -47,7 +47,7 @@
         me: InstanceId,
         store: Rc<StoreLink>,
         peers: Rc<dyn QuotaPeers>,
-        least: LeastMembers,
+        least: MinMembers,
     ) -> Self {
         Self { me, store, peers, least }
     }
--- a/src/gateway/quotas/mod.rs
+++ b/src/gateway/quotas/mod.rs
@@ -16,7 +16,7 @@
 use crate::core::quotas::{LimitSample, QuotaLimit, QuotaMember, QuotaRequest};
 
 pub(crate) use self::client::QuotaClient;
-pub(crate) use self::member_counter::{LeastMembers, MemberCounter};
+pub(crate) use self::member_counter::{MemberCounter, MinMembers};
 pub(crate) use self::messages::QuotaMessage;
 pub(crate) use self::shares::ShareQuota;
 
--- a/src/gateway/quotas/shares.rs
+++ b/src/gateway/quotas/shares.rs
@@ -7,7 +7,7 @@
 use async_trait::async_trait;
 use tokio::time::{Instant, sleep};
 
-use super::{LeastMembers, QuotaKeeper, QuotaOutcome, QuotaPeers, QuotaPlace};
+use super::{MinMembers, QuotaKeeper, QuotaOutcome, QuotaPeers, QuotaPlace};
 use crate::core::ids::WorkspaceId;
 use crate::core::quotas::{
     LimitSample, QuotaBounds, QuotaLimit, QuotaReply, QuotaRequest, QuotaShare,
@@ -17,12 +17,12 @@
 pub(crate) struct ShareQuota {
     bounds: QuotaBounds,
     peers: Rc<dyn QuotaPeers>,
-    least: LeastMembers,
+    least: MinMembers,
     shares: RefCell<HashMap<WorkspaceId, QuotaShare>>,
 }
 
 impl ShareQuota {
-    pub(crate) fn new(bounds: QuotaBounds, peers: Rc<dyn QuotaPeers>, least: LeastMembers) -> Self {
+    pub(crate) fn new(bounds: QuotaBounds, peers: Rc<dyn QuotaPeers>, least: MinMembers) -> Self {
         Self { bounds, peers, least, shares: RefCell::default() }
     }
 }
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -19,7 +19,7 @@
 use super::metrics::GatewayMetrics;
 use super::news::{NewsReaders, StoreNews};
 use super::offer::CallerOffer;
-use super::quotas::{LeastMembers, MemberCounter, QuotaClient, QuotaKeeper, ShareQuota};
+use super::quotas::{MemberCounter, MinMembers, QuotaClient, QuotaKeeper, ShareQuota};
 use super::server::serve_callers;
 use super::settings::{GatewayMechanism, GatewaySettings, QuotaWay};
 use super::stop::StopState;
@@ -178,7 +178,7 @@
     members: &Rc<MemberView>,
     news: &Rc<StoreNews>,
 ) -> Rc<dyn QuotaKeeper> {
-    let least = LeastMembers::default();
+    let least = MinMembers::default();
     let me = settings.instance.clone();
     let size = MemberCounter::new(me.clone(), store.clone(), members.clone(), least.clone());
     actix_rt::spawn(size.run());
