--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -41,7 +41,7 @@
 use metrics::{GatewayMetrics, GatewaySample};
 use news::StoreNews;
 use offer::CallerOffer;
-use quotas::QuotaKeeper;
+use quotas::QuotaEnforcer;
 use stop::StopState;
 use store::StoreLink;
 use turns::TurnKeeper;
@@ -60,7 +60,7 @@
     pub(crate) turns: Rc<TurnKeeper>,
     pub(crate) committer: Rc<StoreCommitter>,
     pub(crate) members: Rc<MemberView>,
-    pub(crate) quotas: Rc<dyn QuotaKeeper>,
+    pub(crate) quotas: Rc<dyn QuotaEnforcer>,
     pub(crate) metrics: GatewayMetrics,
     pub(crate) stop: StopState,
     pub(crate) offer: CallerOffer,
--- a/src/gateway/quotas/client.rs
+++ b/src/gateway/quotas/client.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::messages::QuotaMessage;
-use super::{MinMembers, QuotaKeeper, QuotaOutcome, QuotaPeers, QuotaPlace, QuotaSource};
+use super::{MinMembers, QuotaEnforcer, QuotaOutcome, QuotaPeers, QuotaPlace, QuotaSource};
 use crate::core::ids::{InstanceId, WorkspaceId};
 use crate::core::quotas::{
     LimitSample, LimiterRegistry, LimiterRequest, QuotaBounds, QuotaLimit, QuotaReply,
@@ -291,7 +291,7 @@
 }
 
 #[async_trait(?Send)]
-impl QuotaKeeper for QuotaClient {
+impl QuotaEnforcer for QuotaClient {
     async fn ask(
         &self,
         workspace: &WorkspaceId,
--- a/src/gateway/quotas/client_tests.rs
+++ b/src/gateway/quotas/client_tests.rs
@@ -13,7 +13,7 @@
 };
 use crate::gateway::members::QuotaListener;
 use crate::gateway::quotas::{
-    MinMembers, QuotaKeeper, QuotaMessage, QuotaOutcome, QuotaPeers, QuotaSource,
+    MinMembers, QuotaEnforcer, QuotaMessage, QuotaOutcome, QuotaPeers, QuotaSource,
 };
 
 const BOUNDS: QuotaBounds = QuotaBounds { window: Duration::from_secs(5), over: 0.0, slack: 0.0 };
--- a/src/gateway/quotas/mod.rs
+++ b/src/gateway/quotas/mod.rs
@@ -72,7 +72,7 @@
 
 /// A way to keep limits over all instances.
 #[async_trait(?Send)]
-pub(crate) trait QuotaKeeper {
+pub(crate) trait QuotaEnforcer {
     /// Waits for a place within a workspace's limit.
     async fn ask(
         &self,
--- a/src/gateway/quotas/shares.rs
+++ b/src/gateway/quotas/shares.rs
@@ -7,7 +7,7 @@
 use async_trait::async_trait;
 use tokio::time::{Instant, sleep};
 
-use super::{MinMembers, QuotaKeeper, QuotaOutcome, QuotaPeers, QuotaPlace};
+use super::{MinMembers, QuotaEnforcer, QuotaOutcome, QuotaPeers, QuotaPlace};
 use crate::core::ids::WorkspaceId;
 use crate::core::quotas::{
     LimitSample, QuotaBounds, QuotaLimit, QuotaReply, QuotaRequest, QuotaShare,
@@ -28,7 +28,7 @@
 }
 
 #[async_trait(?Send)]
-impl QuotaKeeper for ShareQuota {
+impl QuotaEnforcer for ShareQuota {
     async fn ask(
         &self,
         workspace: &WorkspaceId,
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -19,7 +19,7 @@
 use super::metrics::GatewayMetrics;
 use super::news::{NewsReaders, StoreNews};
 use super::offer::CallerOffer;
-use super::quotas::{MemberCounter, MinMembers, QuotaClient, QuotaKeeper, ShareQuota};
+use super::quotas::{MemberCounter, MinMembers, QuotaClient, QuotaEnforcer, ShareQuota};
 use super::server::serve_callers;
 use super::settings::{GatewayMechanism, GatewaySettings, QuotaWay};
 use super::stop::StopState;
@@ -177,7 +177,7 @@
     store: &Rc<StoreLink>,
     members: &Rc<MemberView>,
     news: &Rc<StoreNews>,
-) -> Rc<dyn QuotaKeeper> {
+) -> Rc<dyn QuotaEnforcer> {
     let least = MinMembers::default();
     let me = settings.instance.clone();
     let size = MemberCounter::new(me.clone(), store.clone(), members.clone(), least.clone());
