--- a/src/gateway/quotas/mod.rs
+++ b/src/gateway/quotas/mod.rs
@@ -18,7 +18,7 @@
 pub(crate) use self::client::QuotaClient;
 pub(crate) use self::member_counter::{MemberCounter, MinMembers};
 pub(crate) use self::messages::QuotaMessage;
-pub(crate) use self::shares::ShareQuota;
+pub(crate) use self::shares::ShareEnforcer;
 
 /// Path of the limits in force, on the address for peers.
 pub const LIMITS_PATH: &str = "/limits";
--- a/src/gateway/quotas/shares.rs
+++ b/src/gateway/quotas/shares.rs
@@ -14,21 +14,21 @@
 };
 
 /// Limits in equal parts.
-pub(crate) struct ShareQuota {
+pub(crate) struct ShareEnforcer {
     bounds: QuotaBounds,
     peers: Rc<dyn QuotaPeers>,
     least: MinMembers,
     shares: RefCell<HashMap<WorkspaceId, QuotaShare>>,
 }
 
-impl ShareQuota {
+impl ShareEnforcer {
     pub(crate) fn new(bounds: QuotaBounds, peers: Rc<dyn QuotaPeers>, least: MinMembers) -> Self {
         Self { bounds, peers, least, shares: RefCell::default() }
     }
 }
 
 #[async_trait(?Send)]
-impl QuotaEnforcer for ShareQuota {
+impl QuotaEnforcer for ShareEnforcer {
     async fn ask(
         &self,
         workspace: &WorkspaceId,
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -19,7 +19,7 @@
 use super::metrics::GatewayMetrics;
 use super::news::{NewsReaders, StoreNews};
 use super::offer::CallerOffer;
-use super::quotas::{MemberCounter, MinMembers, QuotaClient, QuotaEnforcer, ShareQuota};
+use super::quotas::{MemberCounter, MinMembers, QuotaClient, QuotaEnforcer, ShareEnforcer};
 use super::server::serve_callers;
 use super::settings::{GatewayMechanism, GatewaySettings, QuotaWay};
 use super::stop::StopState;
@@ -184,7 +184,7 @@
     actix_rt::spawn(size.run());
     let bounds = settings.quota_bounds();
     if settings.quota_way == QuotaWay::Shares {
-        return Rc::new(ShareQuota::new(bounds, members.clone(), least));
+        return Rc::new(ShareEnforcer::new(bounds, members.clone(), least));
     }
     let by_program = settings.uses(GatewayMechanism::ProgramQuota);
     let limiter = QuotaClient::new(me, bounds, by_program, members.clone(), news.clone(), least);
