--- a/src/gateway/call/quota.rs
+++ b/src/gateway/call/quota.rs
@@ -9,13 +9,13 @@
 use crate::core::turns::TurnScope;
 use crate::gateway::Gateway;
 use crate::gateway::attempt::AttemptLog;
-use crate::gateway::quotas::{QuotaEnforcer, QuotaOutcome, QuotaPlace};
+use crate::gateway::quotas::{QuotaEnforcer, QuotaOutcome, QuotaPermit};
 use crate::gateway::refusal::Refusal;
 
 /// The place of a call, if its workspace has a limit.
 pub(super) struct CallPlace {
     quotas: Rc<dyn QuotaEnforcer>,
-    place: Option<QuotaPlace>,
+    place: Option<QuotaPermit>,
 }
 
 impl CallPlace {
--- a/src/gateway/quotas/client.rs
+++ b/src/gateway/quotas/client.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::messages::QuotaMessage;
-use super::{MinMembers, QuotaEnforcer, QuotaOutcome, QuotaPeers, QuotaPlace, QuotaSource};
+use super::{MinMembers, QuotaEnforcer, QuotaOutcome, QuotaPeers, QuotaPermit, QuotaSource};
 use crate::core::ids::{InstanceId, WorkspaceId};
 use crate::core::quotas::{
     LimitSample, LimiterRegistry, LimiterRequest, QuotaBounds, QuotaLimit, QuotaReply,
@@ -307,7 +307,7 @@
                 if !after.is_zero() {
                     sleep(after).await;
                 }
-                QuotaOutcome::Granted(QuotaPlace {
+                QuotaOutcome::Granted(QuotaPermit {
                     workspace: workspace.clone(),
                     ask,
                     limiter: answer.limiter,
@@ -318,13 +318,13 @@
         }
     }
 
-    fn give_back(&self, place: QuotaPlace) {
+    fn give_back(&self, place: QuotaPermit) {
         if !place.is_fresh() {
             return;
         }
         match &place.limiter {
             Some(limiter) => {
-                let QuotaPlace { workspace, ask, .. } = &place;
+                let QuotaPermit { workspace, ask, .. } = &place;
                 let message = QuotaMessage::GiveBack { workspace: workspace.clone(), ask: *ask };
                 self.peers.send(limiter, &message.encode());
             }
--- a/src/gateway/quotas/mod.rs
+++ b/src/gateway/quotas/mod.rs
@@ -31,7 +31,7 @@
 /// What a request that wants to be sent on is told.
 #[derive(Debug)]
 pub(crate) enum QuotaOutcome {
-    Granted(QuotaPlace),
+    Granted(QuotaPermit),
     /// The workspace has asked more than its limit.
     OverLimit {
         retry_after: Duration,
@@ -55,7 +55,7 @@
 
 /// A place within a workspace's limit.
 #[derive(Debug)]
-pub(crate) struct QuotaPlace {
+pub(crate) struct QuotaPermit {
     workspace: WorkspaceId,
     ask: QuotaRequest,
     /// Who granted it; none if that was this instance.
@@ -63,7 +63,7 @@
     granted: Instant,
 }
 
-impl QuotaPlace {
+impl QuotaPermit {
     /// Whether it is so new that it may be given back.
     fn is_fresh(&self) -> bool {
         self.granted.elapsed() < GIVE_BACK_AGE
@@ -82,7 +82,7 @@
     ) -> QuotaOutcome;
 
     /// Gives back the place of a request that has not run and never will.
-    fn give_back(&self, place: QuotaPlace);
+    fn give_back(&self, place: QuotaPermit);
 
     /// Limits kept here.
     fn samples(&self) -> Vec<LimitSample>;
--- a/src/gateway/quotas/shares.rs
+++ b/src/gateway/quotas/shares.rs
@@ -7,7 +7,7 @@
 use async_trait::async_trait;
 use tokio::time::{Instant, sleep};
 
-use super::{MinMembers, QuotaEnforcer, QuotaOutcome, QuotaPeers, QuotaPlace};
+use super::{MinMembers, QuotaEnforcer, QuotaOutcome, QuotaPeers, QuotaPermit};
 use crate::core::ids::WorkspaceId;
 use crate::core::quotas::{
     LimitSample, QuotaBounds, QuotaLimit, QuotaReply, QuotaRequest, QuotaShare,
@@ -46,13 +46,13 @@
             QuotaReply::Granted { after } => {
                 sleep(after).await;
                 let (workspace, granted) = (workspace.clone(), Instant::now());
-                QuotaOutcome::Granted(QuotaPlace { workspace, ask, limiter: None, granted })
+                QuotaOutcome::Granted(QuotaPermit { workspace, ask, limiter: None, granted })
             }
             QuotaReply::Refused { retry_after } => QuotaOutcome::OverLimit { retry_after },
         }
     }
 
-    fn give_back(&self, _place: QuotaPlace) {}
+    fn give_back(&self, _place: QuotaPermit) {}
 
     fn samples(&self) -> Vec<LimitSample> {
         Vec::new()
