--- a/src/gateway/call/quota.rs
+++ b/src/gateway/call/quota.rs
@@ -23,7 +23,7 @@
     pub(super) fn settle(mut self, log: &AttemptLog) {
         let unrun = !log.may_have_run();
         if let Some(place) = self.place.take().filter(|_| unrun) {
-            self.quotas.give_back(place);
+            self.quotas.release(place);
         }
     }
 }
--- a/src/gateway/quotas/client.rs
+++ b/src/gateway/quotas/client.rs
@@ -318,7 +318,7 @@
         }
     }
 
-    fn give_back(&self, place: QuotaPermit) {
+    fn release(&self, place: QuotaPermit) {
         if !place.is_fresh() {
             return;
         }
--- a/src/gateway/quotas/client_tests.rs
+++ b/src/gateway/quotas/client_tests.rs
@@ -176,7 +176,7 @@
             panic!("it is granted");
         };
         sleep(Duration::from_millis(age)).await;
-        limiter.give_back(place);
+        limiter.release(place);
         let sent = peers.sent.borrow();
         let given: Vec<_> =
             sent.iter().filter(|(_, m)| matches!(m, QuotaMessage::GiveBack { .. })).collect();
--- a/src/gateway/quotas/messages_tests.rs
+++ b/src/gateway/quotas/messages_tests.rs
@@ -9,7 +9,7 @@
 #[case::reply(
     br#"{"reply":{"id":7,"reply":{"refused":{"retry_after":{"secs":1,"nanos":0}}},"chief":"b"}}"#
 )]
-#[case::give_back(br#"{"give_back":{"workspace":"w","ask":{"opens":false}}}"#)]
+#[case::release(br#"{"give_back":{"workspace":"w","ask":{"opens":false}}}"#)]
 fn datagrams_keep_their_form(#[case] text: &[u8]) {
     let datagram = [&[0xFF], text].concat();
     let message = QuotaMessage::decode(&datagram).expect("it is one about limits");
--- a/src/gateway/quotas/mod.rs
+++ b/src/gateway/quotas/mod.rs
@@ -82,7 +82,7 @@
     ) -> QuotaOutcome;
 
     /// Gives back the place of a request that has not run and never will.
-    fn give_back(&self, place: QuotaPermit);
+    fn release(&self, place: QuotaPermit);
 
     /// Limits kept here.
     fn samples(&self) -> Vec<LimitSample>;
--- a/src/gateway/quotas/shares.rs
+++ b/src/gateway/quotas/shares.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    fn give_back(&self, _place: QuotaPermit) {}
+    fn release(&self, _place: QuotaPermit) {}
 
     fn samples(&self) -> Vec<LimitSample> {
         Vec::new()
