--- a/src/gateway/call/quota.rs
+++ b/src/gateway/call/quota.rs
@@ -40,7 +40,7 @@
         // Whether a turn without a history is its program's first is known to the coordinator alone.
         let opens = call.scope == Some(TurnScope::History) && call.head.previous.is_none();
         let ask = QuotaRequest { opens };
-        let asked = quotas.ask(&workspace.name, quota, ask);
+        let asked = quotas.acquire(&workspace.name, quota, ask);
         let outcome = timeout_at(call.deadline, asked)
             .await
             .unwrap_or(QuotaOutcome::Uncertain { retry_after: DEADLINE_RETRY });
--- a/src/gateway/quotas/client.rs
+++ b/src/gateway/quotas/client.rs
@@ -213,9 +213,10 @@
         round: usize,
         replies: &mut UnboundedReceiver<HeardReply>,
     ) -> Option<LimitAnswer> {
-        let LimiterRequest { id, workspace, quota_request: ask, .. } = question;
+        let LimiterRequest { id, workspace, quota_request: request, .. } = question;
         let (peers, own) = self.targets(workspace, round);
-        let datagram = QuotaMessage::Ask { id, workspace: workspace.clone(), ask }.encode();
+        let datagram =
+            QuotaMessage::Ask { id, workspace: workspace.clone(), ask: request }.encode();
         peers.iter().for_each(|peer| self.peers.send(peer, &datagram));
         if own {
             let (reply, chief) = self.decide(question);
@@ -252,10 +253,10 @@
         &self,
         workspace: &WorkspaceId,
         quota: QuotaLimit,
-        ask: QuotaRequest,
+        request: QuotaRequest,
     ) -> Option<LimitAnswer> {
         let id: QuotaRequestId = rand::random();
-        let question = LimiterRequest { id, workspace, quota_request: ask, quota };
+        let question = LimiterRequest { id, workspace, quota_request: request, quota };
         let (sender, mut replies) = unbounded_channel();
         self.waiting.borrow_mut().insert(id, sender);
         let _open = OpenQuestion { waiting: &self.waiting, id };
@@ -292,13 +293,13 @@
 
 #[async_trait(?Send)]
 impl QuotaEnforcer for QuotaClient {
-    async fn ask(
+    async fn acquire(
         &self,
         workspace: &WorkspaceId,
         quota: QuotaLimit,
-        ask: QuotaRequest,
+        request: QuotaRequest,
     ) -> QuotaOutcome {
-        let Some(answer) = self.ask_all(workspace, quota, ask).await else {
+        let Some(answer) = self.ask_all(workspace, quota, request).await else {
             return QuotaOutcome::Uncertain { retry_after: UNCERTAIN_RETRY };
         };
         match answer.reply {
@@ -309,7 +310,7 @@
                 }
                 QuotaOutcome::Granted(QuotaPermit {
                     workspace: workspace.clone(),
-                    ask,
+                    request,
                     limiter: answer.limiter,
                     granted: Instant::now(),
                 })
@@ -324,11 +325,12 @@
         }
         match &place.limiter {
             Some(limiter) => {
-                let QuotaPermit { workspace, ask, .. } = &place;
-                let message = QuotaMessage::GiveBack { workspace: workspace.clone(), ask: *ask };
+                let QuotaPermit { workspace, request, .. } = &place;
+                let message =
+                    QuotaMessage::GiveBack { workspace: workspace.clone(), ask: *request };
                 self.peers.send(limiter, &message.encode());
             }
-            None => self.desk.borrow_mut().release(&place.workspace, place.ask, Instant::now()),
+            None => self.desk.borrow_mut().release(&place.workspace, place.request, Instant::now()),
         }
     }
 
--- a/src/gateway/quotas/client_tests.rs
+++ b/src/gateway/quotas/client_tests.rs
@@ -111,7 +111,7 @@
     let (peers, limiter) = asker(&["a", "b", "c"], Some(0));
     let (workspace, first, second) = foreign(&limiter);
     let begun = Instant::now();
-    let outcome = limiter.ask(&workspace, QUOTA, CALL).await;
+    let outcome = limiter.acquire(&workspace, QUOTA, CALL).await;
     assert!(matches!(outcome, QuotaOutcome::Uncertain { .. }), "{outcome:?}");
     assert!((550..700).contains(&begun.elapsed().as_millis()), "{:?}", begun.elapsed());
     let sent = peers.questions();
@@ -120,10 +120,10 @@
     let ids: std::collections::BTreeSet<_> = sent.iter().map(|(_, id)| *id).collect();
     assert_eq!(ids.len(), 1);
     for _ in 0..2 {
-        limiter.ask(&workspace, QUOTA, CALL).await;
+        limiter.acquire(&workspace, QUOTA, CALL).await;
     }
     let begun = Instant::now();
-    limiter.ask(&workspace, QUOTA, CALL).await;
+    limiter.acquire(&workspace, QUOTA, CALL).await;
     assert!(begun.elapsed() < Duration::from_millis(200), "{:?}", begun.elapsed());
 }
 
@@ -159,7 +159,7 @@
     answer(&peers, &limiter, &first, refused, Some("stranger"));
     let granted = QuotaReply::Granted { after: Duration::ZERO };
     answer(&peers, &limiter, "stranger", granted, None);
-    let outcome = limiter.ask(&workspace, QUOTA, CALL).await;
+    let outcome = limiter.acquire(&workspace, QUOTA, CALL).await;
     assert!(is_granted(&outcome), "{outcome:?}");
 }
 
@@ -172,7 +172,7 @@
     for (age, back) in [(0, 1), (600, 1)] {
         peers.sent.borrow_mut().retain(|(_, m)| matches!(m, QuotaMessage::GiveBack { .. }));
         answer(&peers, &limiter, &first, granted, None);
-        let QuotaOutcome::Granted(place) = limiter.ask(&workspace, QUOTA, CALL).await else {
+        let QuotaOutcome::Granted(place) = limiter.acquire(&workspace, QUOTA, CALL).await else {
             panic!("it is granted");
         };
         sleep(Duration::from_millis(age)).await;
@@ -216,7 +216,7 @@
         .run_until(async {
             let run = tokio::task::spawn_local(limiter.clone().run());
             sleep(Duration::from_secs(20)).await;
-            assert!(is_granted(&limiter.ask(&workspace, QUOTA, CALL).await));
+            assert!(is_granted(&limiter.acquire(&workspace, QUOTA, CALL).await));
             assert!(level(&limiter) > 90.0, "{}", level(&limiter));
             match paused {
                 true => {
@@ -226,7 +226,7 @@
                 }
                 false => peers.doubts.set(1),
             }
-            let _ = limiter.ask(&workspace, QUOTA, CALL).await;
+            let _ = limiter.acquire(&workspace, QUOTA, CALL).await;
             assert!(level(&limiter) < 5.0, "{}", level(&limiter));
         })
         .await;
--- a/src/gateway/quotas/mod.rs
+++ b/src/gateway/quotas/mod.rs
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub(crate) struct QuotaPermit {
     workspace: WorkspaceId,
-    ask: QuotaRequest,
+    request: QuotaRequest,
     /// Who granted it; none if that was this instance.
     limiter: Option<Box<str>>,
     granted: Instant,
@@ -74,11 +74,11 @@
 #[async_trait(?Send)]
 pub(crate) trait QuotaEnforcer {
     /// Waits for a place within a workspace's limit.
-    async fn ask(
+    async fn acquire(
         &self,
         workspace: &WorkspaceId,
         quota: QuotaLimit,
-        ask: QuotaRequest,
+        request: QuotaRequest,
     ) -> QuotaOutcome;
 
     /// Gives back the place of a request that has not run and never will.
--- a/src/gateway/quotas/shares.rs
+++ b/src/gateway/quotas/shares.rs
@@ -29,11 +29,11 @@
 
 #[async_trait(?Send)]
 impl QuotaEnforcer for ShareEnforcer {
-    async fn ask(
+    async fn acquire(
         &self,
         workspace: &WorkspaceId,
         quota: QuotaLimit,
-        ask: QuotaRequest,
+        request: QuotaRequest,
     ) -> QuotaOutcome {
         let now = Instant::now();
         let instances = self.peers.quota_members().len().max(self.least.get().unwrap_or(0));
@@ -46,7 +46,7 @@
             QuotaReply::Granted { after } => {
                 sleep(after).await;
                 let (workspace, granted) = (workspace.clone(), Instant::now());
-                QuotaOutcome::Granted(QuotaPermit { workspace, ask, limiter: None, granted })
+                QuotaOutcome::Granted(QuotaPermit { workspace, request, limiter: None, granted })
             }
             QuotaReply::Refused { retry_after } => QuotaOutcome::OverLimit { retry_after },
         }
