--- a/src/gateway/members/roles.rs
+++ b/src/gateway/members/roles.rs
@@ -16,7 +16,7 @@
 const READER_ROOTS: usize = 4;
 
 impl QuotaPeers for MemberView {
-    fn doubts(&self) -> u64 {
+    fn suspicions(&self) -> u64 {
         self.table.borrow().suspicions()
     }
 
--- a/src/gateway/quotas/client.rs
+++ b/src/gateway/quotas/client.rs
@@ -73,7 +73,7 @@
     /// When the instance was last seen running.
     mark: Cell<Option<ClockMark>>,
     /// Doubts of others that are known of.
-    doubts: Cell<u64>,
+    suspicions: Cell<u64>,
     peers: Rc<dyn QuotaPeers>,
     source: Rc<dyn QuotaSource>,
     least: MinMembers,
@@ -96,7 +96,7 @@
             me,
             desk: RefCell::new(LimiterRegistry::new(bounds, by_program, Instant::now())),
             mark: Cell::new(None),
-            doubts: Cell::new(0),
+            suspicions: Cell::new(0),
             peers,
             source,
             least,
@@ -132,8 +132,8 @@
     /// Begins anew after a pause, or when others took this instance for failed: they have asked
     /// somebody else meanwhile. The first to run after a pause may be a peer's question.
     fn notice_absence(&self) {
-        let doubts = self.peers.doubts();
-        let doubted = self.doubts.replace(doubts) != doubts;
+        let suspicions = self.peers.suspicions();
+        let doubted = self.suspicions.replace(suspicions) != suspicions;
         let mark = self.mark.get();
         let paused = mark.is_some_and(|mark| mark.steady().elapsed() >= PAUSE || mark.is_paused());
         if !doubted && !paused {
--- a/src/gateway/quotas/client_tests.rs
+++ b/src/gateway/quotas/client_tests.rs
@@ -23,7 +23,7 @@
 /// Members without a network: what is sent is kept.
 struct FakePeers {
     members: RefCell<Vec<QuotaMember>>,
-    doubts: Cell<u64>,
+    suspicions: Cell<u64>,
     sent: RefCell<Vec<(String, QuotaMessage)>>,
 }
 
@@ -44,8 +44,8 @@
         0
     }
 
-    fn doubts(&self) -> u64 {
-        self.doubts.get()
+    fn suspicions(&self) -> u64 {
+        self.suspicions.get()
     }
 
     fn quota_members(&self) -> Vec<QuotaMember> {
@@ -76,7 +76,7 @@
     let members = ["me"].iter().chain(others).map(|name| member(name)).collect();
     let peers = Rc::new(FakePeers {
         members: RefCell::new(members),
-        doubts: Cell::new(0),
+        suspicions: Cell::new(0),
         sent: RefCell::default(),
     });
     let least = MinMembers::new(Cell::new(least));
@@ -224,7 +224,7 @@
                     run.abort();
                     sleep(Duration::from_secs(3)).await;
                 }
-                false => peers.doubts.set(1),
+                false => peers.suspicions.set(1),
             }
             let _ = limiter.acquire(&workspace, QUOTA, CALL).await;
             assert!(level(&limiter) < 5.0, "{}", level(&limiter));
--- a/src/gateway/quotas/mod.rs
+++ b/src/gateway/quotas/mod.rs
@@ -93,7 +93,7 @@
     /// Rises whenever the members change.
     fn changes(&self) -> u64;
     /// Rises whenever others took this instance for failed.
-    fn doubts(&self) -> u64;
+    fn suspicions(&self) -> u64;
     fn quota_members(&self) -> Vec<QuotaMember>;
     /// Sends a datagram, which may be lost.
     fn send(&self, to: &str, datagram: &[u8]);
