--- a/src/gateway/quotas/client.rs
+++ b/src/gateway/quotas/client.rs
@@ -1,4 +1,4 @@
-//! Asks a workspace's limiter, which may be this instance, for each request.
+//! Requests a permit for each call from the workspace's limiter, which may be this instance.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,67 +20,61 @@
 use crate::gateway::members::QuotaListener;
 use crate::util::pause::ClockMark;
 
-/// Time until a question is repeated. An answer takes 2 ms between zones, and some 30 where an
-/// eighth of a core is slowed fivefold; datagrams are lost now and then.
-const REPEAT: Duration = Duration::from_millis(40);
-/// Questions to the limiter alone before its deputy is asked too.
-const ALONE: usize = 2;
-/// How long is asked. The members find out within a second or two that a limiter is gone; asking for
-/// 1.5 s instead brought nothing on a day with kills and hot workspaces (worth 0.867 and 0.874 for 0.875
-/// and 0.872, two seeds).
-const PATIENCE: Duration = Duration::from_millis(600);
-/// How long is asked by an instance that has heard nobody for some questions: it is cut off, and its
-/// callers are served elsewhere at once.
-const SHORT_PATIENCE: Duration = Duration::from_millis(100);
-const UNHEARD: u32 = 3;
-/// When a caller may come back that nobody could answer: the members know more by then.
-const UNCERTAIN_RETRY: Duration = Duration::from_millis(400);
-/// How long a limiter that was silent is asked together with its deputy from the start.
-const PASSED_OVER: Duration = Duration::from_millis(800);
-const TICK: Duration = Duration::from_millis(100);
-/// A task that is due each tick and has not run for so long tells of a pause; the members drop an
-/// instance after about as long.
-const PAUSE: Duration = Duration::from_secs(1);
+/// A request without a reply is sent again after this time; datagrams may be lost.
+const ROUND_TIMEOUT: Duration = Duration::from_millis(40);
+/// Rounds sent to the limiter only, before the standby is included.
+const LIMITER_ONLY_ROUNDS: usize = 2;
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(600);
+/// Short, so that callers of an isolated instance retry at another one soon.
+const ISOLATED_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
+/// Consecutive unanswered requests after which the instance takes itself for isolated.
+const MIN_UNANSWERED: u32 = 3;
+/// Gives the failure detector time to replace the limiter.
+const UNCERTAIN_RETRY_DELAY: Duration = Duration::from_millis(400);
+/// For this time the standby of an unresponsive limiter is included from the first round.
+const UNRESPONSIVE_RETENTION: Duration = Duration::from_millis(800);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Shortest gap since the last tick that counts as a pause of the process. Other members declare an
+/// instance dead after about this time.
+const MIN_PAUSE: Duration = Duration::from_secs(1);
 
-/// An answer and who gave it.
 #[derive(Debug)]
-struct HeardReply {
+struct ReceivedReply {
     from: Box<str>,
     reply: QuotaReply,
-    /// Whom to ask instead.
-    chief: Option<Box<str>>,
+    /// Set if the sender takes another instance for the limiter.
+    limiter: Option<Box<str>>,
 }
 
-/// What a question came to.
-struct LimitAnswer {
+struct QuotaDecision {
     reply: QuotaReply,
-    /// The peer that said so; none if that was this instance.
+    /// None if this instance decided.
     limiter: Option<Box<str>>,
 }
 
-/// The members as they were last looked at.
-struct SeenMembers {
-    /// Number of the change after which they were.
+struct MemberSnapshot {
+    /// Value of `QuotaPeers::changes` that the view was built at.
     changes: u64,
-    least: usize,
+    min_members: usize,
     view: QuotaView,
 }
 
-/// Limits kept by one member for each workspace.
+/// Enforces the limit of each workspace at one of the members, its limiter.
 pub(crate) struct QuotaClient {
     me: InstanceId,
-    desk: RefCell<LimiterRegistry>,
-    /// When the instance was last seen running.
-    mark: Cell<Option<ClockMark>>,
-    /// Doubts of others that are known of.
+    registry: RefCell<LimiterRegistry>,
+    /// Detects pauses of the process.
+    last_run: Cell<Option<ClockMark>>,
+    /// Last value of `QuotaPeers::suspicions`.
     suspicions: Cell<u64>,
     peers: Rc<dyn QuotaPeers>,
     source: Rc<dyn QuotaSource>,
-    least: MinMembers,
-    seen: RefCell<Option<SeenMembers>>,
-    waiting: RefCell<HashMap<QuotaRequestId, UnboundedSender<HeardReply>>>,
-    silent: RefCell<FailedPeers>,
-    unheard: Cell<u32>,
+    min_members: MinMembers,
+    snapshot: RefCell<Option<MemberSnapshot>>,
+    pending: RefCell<HashMap<QuotaRequestId, UnboundedSender<ReceivedReply>>>,
+    unresponsive: RefCell<FailedPeers>,
+    /// Consecutive requests without a reply.
+    unanswered: Cell<u32>,
 }
 
 impl QuotaClient {
@@ -90,75 +84,76 @@
         by_program: bool,
         peers: Rc<dyn QuotaPeers>,
         source: Rc<dyn QuotaSource>,
-        least: MinMembers,
+        min_members: MinMembers,
     ) -> Self {
         Self {
             me,
-            desk: RefCell::new(LimiterRegistry::new(bounds, by_program, Instant::now())),
-            mark: Cell::new(None),
+            registry: RefCell::new(LimiterRegistry::new(bounds, by_program, Instant::now())),
+            last_run: Cell::new(None),
             suspicions: Cell::new(0),
             peers,
             source,
-            least,
-            seen: RefCell::default(),
-            waiting: RefCell::default(),
-            silent: RefCell::new(FailedPeers::new(PASSED_OVER)),
-            unheard: Cell::new(0),
+            min_members,
+            snapshot: RefCell::default(),
+            pending: RefCell::default(),
+            unresponsive: RefCell::new(FailedPeers::new(UNRESPONSIVE_RETENTION)),
+            unanswered: Cell::new(0),
         }
     }
 
-    /// Looks after the limits kept here until the instance ends.
     pub(crate) async fn run(self: Rc<Self>) {
         loop {
-            self.notice_absence();
+            self.restart_if_absent();
             let now = Instant::now();
-            self.with_view(|view| self.desk.borrow_mut().tick(view, now));
-            self.mark.set(Some(ClockMark::now()));
-            sleep(TICK).await;
+            self.with_view(|view| self.registry.borrow_mut().tick(view, now));
+            self.last_run.set(Some(ClockMark::now()));
+            sleep(TICK_INTERVAL).await;
         }
     }
 
-    /// Decides about a request as the limiter of its workspace, or its deputy.
-    fn decide(&self, question: LimiterRequest<'_>) -> (QuotaReply, bool) {
-        self.notice_absence();
+    /// Decides as the limiter or the standby of the workspace; true if as the limiter.
+    fn decide(&self, request: LimiterRequest<'_>) -> (QuotaReply, bool) {
+        self.restart_if_absent();
         let now = Instant::now();
-        self.with_view(|view| self.desk.borrow_mut().decide(question, view, now))
+        self.with_view(|view| self.registry.borrow_mut().decide(request, view, now))
     }
 
-    fn chief_address(&self, workspace: &str) -> Option<Box<str>> {
+    fn limiter_address(&self, workspace: &str) -> Option<Box<str>> {
         self.with_view(|view| view.limiter(workspace).map(|limiter| limiter.address.clone()))
     }
 
-    /// Begins anew after a pause, or when others took this instance for failed: they have asked
-    /// somebody else meanwhile. The first to run after a pause may be a peer's question.
-    fn notice_absence(&self) {
+    /// Restarts the limiters empty after a pause or a suspicion by other members: another instance may
+    /// have granted permits meanwhile. Called for each request too, because the first event after a
+    /// pause may be a request of a peer.
+    fn restart_if_absent(&self) {
         let suspicions = self.peers.suspicions();
-        let doubted = self.suspicions.replace(suspicions) != suspicions;
-        let mark = self.mark.get();
-        let paused = mark.is_some_and(|mark| mark.steady().elapsed() >= PAUSE || mark.is_paused());
-        if !doubted && !paused {
+        let suspected = self.suspicions.replace(suspicions) != suspicions;
+        let last_run = self.last_run.get();
+        let paused =
+            last_run.is_some_and(|mark| mark.steady().elapsed() >= MIN_PAUSE || mark.is_paused());
+        if !suspected && !paused {
             return;
         }
         let cause = if paused { "paused" } else { "doubted" };
         log::info!("event=limits_restarted cause={cause}");
-        self.desk.borrow_mut().restart(Instant::now());
-        self.mark.set(Some(ClockMark::now()));
+        self.registry.borrow_mut().restart(Instant::now());
+        self.last_run.set(Some(ClockMark::now()));
     }
 
-    /// Lets something look at the members of the moment.
-    fn with_view<T>(&self, look: impl FnOnce(&QuotaView) -> T) -> T {
-        let (changes, least) = (self.peers.changes(), self.least.get().unwrap_or(0));
-        let mut seen = self.seen.borrow_mut();
+    fn with_view<T>(&self, read: impl FnOnce(&QuotaView) -> T) -> T {
+        let (changes, min_members) = (self.peers.changes(), self.min_members.get().unwrap_or(0));
+        let mut snapshot = self.snapshot.borrow_mut();
         let now = Instant::now();
-        let seen = seen.get_or_insert_with(|| {
-            let view = QuotaView::new(self.me.clone(), self.peers.quota_members(), least, now);
-            SeenMembers { changes, least, view }
+        let snapshot = snapshot.get_or_insert_with(|| {
+            let view =
+                QuotaView::new(self.me.clone(), self.peers.quota_members(), min_members, now);
+            MemberSnapshot { changes, min_members, view }
         });
-        if (seen.changes, seen.least) != (changes, least) {
-            (seen.changes, seen.least) = (changes, least);
-            seen.view.update(self.peers.quota_members(), least, now);
+        if (snapshot.changes, snapshot.min_members) != (changes, min_members) {
+            (snapshot.changes, snapshot.min_members) = (changes, min_members);
+            snapshot.view.update(self.peers.quota_members(), min_members, now);
         }
-        look(&seen.view)
+        read(&snapshot.view)
     }
 }
 
@@ -166,111 +161,118 @@
     fn take(&self, from: &str, message: QuotaMessage) {
         match message {
             QuotaMessage::Ask { id, workspace, ask } => {
-                // Without the configuration nothing is known of a limit, and without the number of
-                // members not what part of it is this one's; the asker goes elsewhere.
+                // Without the configuration the limit is unknown, and without the number of members
+                // this instance's share of it; the sender then asks the standby.
                 let Some(quota) = self.source.quota(&workspace) else { return };
-                if self.least.get().is_none() {
+                if self.min_members.get().is_none() {
                     return;
                 }
-                let question =
+                let request =
                     LimiterRequest { id, workspace: &workspace, quota_request: ask, quota };
-                let (reply, chief) = self.decide(question);
-                let chief = if chief { None } else { self.chief_address(&workspace) };
+                let (reply, is_primary) = self.decide(request);
+                let chief = if is_primary { None } else { self.limiter_address(&workspace) };
                 self.peers.send(from, &QuotaMessage::Reply { id, reply, chief }.encode());
             }
-            QuotaMessage::Reply { id, reply, chief } => {
-                if let Some(waiting) = self.waiting.borrow().get(&id) {
-                    // Whoever asked may have left meanwhile.
-                    let _ = waiting.send(HeardReply { from: from.into(), reply, chief });
+            QuotaMessage::Reply { id, reply, chief: limiter } => {
+                if let Some(sender) = self.pending.borrow().get(&id) {
+                    // The request may have been dropped.
+                    let _ = sender.send(ReceivedReply { from: from.into(), reply, limiter });
                 }
             }
             QuotaMessage::GiveBack { workspace, ask } => {
-                self.desk.borrow_mut().release(&workspace, ask, Instant::now());
+                self.registry.borrow_mut().release(&workspace, ask, Instant::now());
             }
         }
     }
 }
 
 impl QuotaClient {
-    /// Whom to ask in a round: addresses of peers, and whether this instance is among them.
+    /// Addresses of the peers to ask in a round, and whether this instance decides too.
     fn targets(&self, workspace: &str, round: usize) -> (Vec<Box<str>>, bool) {
         self.with_view(|view| {
-            let silent = self.silent.borrow();
+            let unresponsive = self.unresponsive.borrow();
             let [first, second] = view.candidates(workspace);
-            let passed = first.is_some_and(|first| silent.contains(&first.address));
-            let second = second.filter(|_| round >= ALONE || passed);
-            let asked: Vec<_> = first.into_iter().chain(second).collect();
-            let knows = self.least.get().is_some();
-            let own = knows && asked.iter().any(|member| view.is_me(member));
-            let peers = asked.iter().filter(|member| !view.is_me(member));
-            (peers.map(|member| member.address.clone()).collect(), own)
+            let is_unresponsive = first.is_some_and(|first| unresponsive.contains(&first.address));
+            let second = second.filter(|_| round >= LIMITER_ONLY_ROUNDS || is_unresponsive);
+            let candidates: Vec<_> = first.into_iter().chain(second).collect();
+            let knows_members = self.min_members.get().is_some();
+            let includes_me = knows_members && candidates.iter().any(|member| view.is_me(member));
+            let peers = candidates.iter().filter(|member| !view.is_me(member));
+            (peers.map(|member| member.address.clone()).collect(), includes_me)
         })
     }
 
-    async fn ask_round(
+    async fn send_round(
         &self,
-        question: LimiterRequest<'_>,
+        request: LimiterRequest<'_>,
         round: usize,
-        replies: &mut UnboundedReceiver<HeardReply>,
-    ) -> Option<LimitAnswer> {
-        let LimiterRequest { id, workspace, quota_request: request, .. } = question;
-        let (peers, own) = self.targets(workspace, round);
+        replies: &mut UnboundedReceiver<ReceivedReply>,
+    ) -> Option<QuotaDecision> {
+        let LimiterRequest { id, workspace, quota_request, .. } = request;
+        let (peers, includes_me) = self.targets(workspace, round);
         let datagram =
-            QuotaMessage::Ask { id, workspace: workspace.clone(), ask: request }.encode();
+            QuotaMessage::Ask { id, workspace: workspace.clone(), ask: quota_request }.encode();
         peers.iter().for_each(|peer| self.peers.send(peer, &datagram));
-        if own {
-            let (reply, chief) = self.decide(question);
-            if chief || is_granted(reply) {
-                return Some(LimitAnswer { reply, limiter: None });
+        if includes_me {
+            let (reply, is_primary) = self.decide(request);
+            if is_primary || is_granted(reply) {
+                return Some(QuotaDecision { reply, limiter: None });
             }
         }
-        let heard = async {
-            while let Some(heard) = replies.recv().await {
-                self.unheard.set(0);
-                // A deputy that has nothing to give does not say that the limit is reached.
-                let Some(chief) = heard.chief.filter(|_| !is_granted(heard.reply)) else {
-                    return Some(LimitAnswer { reply: heard.reply, limiter: Some(heard.from) });
+        let received = async {
+            while let Some(received) = replies.recv().await {
+                self.unanswered.set(0);
+                // A refusal by the standby does not mean that the limit is reached.
+                let Some(limiter) = received.limiter.filter(|_| !is_granted(received.reply)) else {
+                    return Some(QuotaDecision {
+                        reply: received.reply,
+                        limiter: Some(received.from),
+                    });
                 };
-                // Where all have just started, it knows some that this instance has not heard of.
-                if !peers.contains(&chief) {
-                    self.peers.send(&chief, &datagram);
+                // Shortly after a start the sender may know members that this instance does not.
+                if !peers.contains(&limiter) {
+                    self.peers.send(&limiter, &datagram);
                 }
             }
             None
         };
-        let reply = timeout(REPEAT, heard).await.ok().flatten();
+        let reply = timeout(ROUND_TIMEOUT, received).await.ok().flatten();
         if reply.is_none()
-            && round + 1 >= ALONE
+            && round + 1 >= LIMITER_ONLY_ROUNDS
             && let Some(first) = peers.first()
         {
-            self.silent.borrow_mut().note(first);
+            self.unresponsive.borrow_mut().note(first);
         }
         reply
     }
 
-    /// Asks until somebody answers.
-    async fn ask_all(
+    /// Repeats the request until a member decides; none after the timeout.
+    async fn request_decision(
         &self,
         workspace: &WorkspaceId,
         quota: QuotaLimit,
         request: QuotaRequest,
-    ) -> Option<LimitAnswer> {
+    ) -> Option<QuotaDecision> {
         let id: QuotaRequestId = rand::random();
-        let question = LimiterRequest { id, workspace, quota_request: request, quota };
+        let request = LimiterRequest { id, workspace, quota_request: request, quota };
         let (sender, mut replies) = unbounded_channel();
-        self.waiting.borrow_mut().insert(id, sender);
-        let _open = OpenQuestion { waiting: &self.waiting, id };
-        let patience = if self.unheard.get() >= UNHEARD { SHORT_PATIENCE } else { PATIENCE };
-        let until = Instant::now() + patience;
+        self.pending.borrow_mut().insert(id, sender);
+        let _pending = PendingRequest { pending: &self.pending, id };
+        let request_timeout = if self.unanswered.get() >= MIN_UNANSWERED {
+            ISOLATED_REQUEST_TIMEOUT
+        } else {
+            REQUEST_TIMEOUT
+        };
+        let deadline = Instant::now() + request_timeout;
         let mut round = 0;
-        while Instant::now() < until {
-            let reply = self.ask_round(question, round, &mut replies).await;
+        while Instant::now() < deadline {
+            let reply = self.send_round(request, round, &mut replies).await;
             if reply.is_some() {
                 return reply;
             }
             round += 1;
         }
-        self.unheard.set(self.unheard.get().saturating_add(1));
+        self.unanswered.set(self.unanswered.get().saturating_add(1));
         None
     }
 }
@@ -279,15 +281,15 @@
     matches!(reply, QuotaReply::Granted { .. })
 }
 
-/// A question that waits for its answer; forgotten when its asker leaves.
-struct OpenQuestion<'a> {
-    waiting: &'a RefCell<HashMap<QuotaRequestId, UnboundedSender<HeardReply>>>,
+/// Removes the request when its caller drops it.
+struct PendingRequest<'a> {
+    pending: &'a RefCell<HashMap<QuotaRequestId, UnboundedSender<ReceivedReply>>>,
     id: QuotaRequestId,
 }
 
-impl Drop for OpenQuestion<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        self.waiting.borrow_mut().remove(&self.id);
+        self.pending.borrow_mut().remove(&self.id);
     }
 }
 
@@ -299,19 +301,19 @@
         quota: QuotaLimit,
         request: QuotaRequest,
     ) -> QuotaOutcome {
-        let Some(answer) = self.ask_all(workspace, quota, request).await else {
-            return QuotaOutcome::Uncertain { retry_after: UNCERTAIN_RETRY };
+        let Some(decision) = self.request_decision(workspace, quota, request).await else {
+            return QuotaOutcome::Uncertain { retry_after: UNCERTAIN_RETRY_DELAY };
         };
-        match answer.reply {
+        match decision.reply {
             QuotaReply::Granted { after } => {
-                // Even no time at all would wait for the runtime's next millisecond.
+                // A sleep of zero would still last until the runtime's next millisecond.
                 if !after.is_zero() {
                     sleep(after).await;
                 }
                 QuotaOutcome::Granted(QuotaPermit {
                     workspace: workspace.clone(),
                     request,
-                    limiter: answer.limiter,
+                    limiter: decision.limiter,
                     granted: Instant::now(),
                 })
             }
@@ -319,23 +321,27 @@
         }
     }
 
-    fn release(&self, place: QuotaPermit) {
-        if !place.is_fresh() {
+    fn release(&self, permit: QuotaPermit) {
+        if !permit.is_fresh() {
             return;
         }
-        match &place.limiter {
+        match &permit.limiter {
             Some(limiter) => {
-                let QuotaPermit { workspace, request, .. } = &place;
+                let QuotaPermit { workspace, request, .. } = &permit;
                 let message =
                     QuotaMessage::GiveBack { workspace: workspace.clone(), ask: *request };
                 self.peers.send(limiter, &message.encode());
             }
-            None => self.desk.borrow_mut().release(&place.workspace, place.request, Instant::now()),
+            None => self.registry.borrow_mut().release(
+                &permit.workspace,
+                permit.request,
+                Instant::now(),
+            ),
         }
     }
 
     fn samples(&self) -> Vec<LimitSample> {
-        self.desk.borrow().samples(Instant::now())
+        self.registry.borrow().samples(Instant::now())
     }
 }
 
