--- a/src/gateway/quotas/client_tests.rs
+++ b/src/gateway/quotas/client_tests.rs
@@ -1,4 +1,4 @@
-//! Who is asked, how often and how long, and what makes an instance forget what it has given out.
+//! Tests of the retries, timeouts and permit releases of `QuotaClient`, and of limiter restarts.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 const QUOTA: QuotaLimit = QuotaLimit { rate: 10.0, burst: 100.0 };
 const CALL: QuotaRequest = QuotaRequest { opens: false };
 
-/// Members without a network: what is sent is kept.
+/// Records the datagrams instead of sending them.
 struct FakePeers {
     members: RefCell<Vec<QuotaMember>>,
     suspicions: Cell<u64>,
@@ -28,14 +28,14 @@
 }
 
 impl FakePeers {
-    /// Questions that were sent: to whom, and under which id.
-    fn questions(&self) -> Vec<(String, u64)> {
+    /// Receivers and ids of the requests that were sent.
+    fn requests(&self) -> Vec<(String, u64)> {
         let sent = self.sent.borrow();
-        let question = |(to, message): &(String, QuotaMessage)| match message {
+        let request = |(to, message): &(String, QuotaMessage)| match message {
             QuotaMessage::Ask { id, .. } => Some((to.clone(), *id)),
             QuotaMessage::Reply { .. } | QuotaMessage::GiveBack { .. } => None,
         };
-        sent.iter().filter_map(question).collect()
+        sent.iter().filter_map(request).collect()
     }
 }
 
@@ -53,7 +53,8 @@
     }
 
     fn send(&self, to: &str, datagram: &[u8]) {
-        let message = QuotaMessage::decode(datagram).expect("its kind").expect("well formed");
+        let message =
+            QuotaMessage::decode(datagram).expect("a quota message").expect("well formed");
         self.sent.borrow_mut().push((to.into(), message));
     }
 }
@@ -71,77 +72,83 @@
     QuotaMember { instance: name.into(), incarnation: 1, address: name.into(), status }
 }
 
-/// An instance `me` among others.
-fn asker(others: &[&str], least: Option<usize>) -> (Rc<FakePeers>, Rc<QuotaClient>) {
+/// A client on instance `me`.
+fn start_client(others: &[&str], min_members: Option<usize>) -> (Rc<FakePeers>, Rc<QuotaClient>) {
     let members = ["me"].iter().chain(others).map(|name| member(name)).collect();
     let peers = Rc::new(FakePeers {
         members: RefCell::new(members),
         suspicions: Cell::new(0),
         sent: RefCell::default(),
     });
-    let least = MinMembers::new(Cell::new(least));
-    let limiter =
-        QuotaClient::new("me".into(), BOUNDS, true, peers.clone(), Rc::new(FakeSource), least);
-    (peers, Rc::new(limiter))
+    let min_members = MinMembers::new(Cell::new(min_members));
+    let client = QuotaClient::new(
+        "me".into(),
+        BOUNDS,
+        true,
+        peers.clone(),
+        Rc::new(FakeSource),
+        min_members,
+    );
+    (peers, Rc::new(client))
 }
 
-/// A workspace that another one than this instance limits, with its address and the deputy's.
-fn foreign(limiter: &QuotaClient) -> (WorkspaceId, String, String) {
+/// A workspace for which this instance is neither the limiter nor the standby, and the addresses of
+/// these two.
+fn remote_workspace(client: &QuotaClient) -> (WorkspaceId, String, String) {
     for number in 0.. {
         let workspace: WorkspaceId = format!("w{number}").into();
-        let asked = limiter.with_view(|view| {
+        let candidates = client.with_view(|view| {
             view.candidates(&workspace).map(|member| member.expect("three").address.to_string())
         });
-        if asked.iter().all(|address| *address != "me") {
-            let [first, second] = asked;
+        if candidates.iter().all(|address| *address != "me") {
+            let [first, second] = candidates;
             return (workspace, first, second);
         }
     }
-    unreachable!("some workspace is another's")
+    unreachable!("some workspace has a remote limiter")
 }
 
 fn is_granted(outcome: &QuotaOutcome) -> bool {
     matches!(outcome, QuotaOutcome::Granted(_))
 }
 
-/// Its limiter is silent: the question is repeated under one id, then its deputy is asked too, and after
-/// 0.6 s the caller hears that nobody knows. From the fourth time on it hears so at once.
+/// A limiter that does not answer must not block its callers, nor a repetition count as a new request.
 #[tokio::test(start_paused = true)]
-async fn a_silent_limiter_is_asked_again_and_given_up() {
-    let (peers, limiter) = asker(&["a", "b", "c"], Some(0));
-    let (workspace, first, second) = foreign(&limiter);
-    let begun = Instant::now();
-    let outcome = limiter.acquire(&workspace, QUOTA, CALL).await;
+async fn request_without_reply_is_repeated_under_one_id_until_it_times_out() {
+    let (peers, client) = start_client(&["a", "b", "c"], Some(0));
+    let (workspace, first, second) = remote_workspace(&client);
+    let start = Instant::now();
+    let outcome = client.acquire(&workspace, QUOTA, CALL).await;
     assert!(matches!(outcome, QuotaOutcome::Uncertain { .. }), "{outcome:?}");
-    assert!((550..700).contains(&begun.elapsed().as_millis()), "{:?}", begun.elapsed());
-    let sent = peers.questions();
+    assert!((550..700).contains(&start.elapsed().as_millis()), "{:?}", start.elapsed());
+    let sent = peers.requests();
     let to: Vec<&str> = sent.iter().take(4).map(|(to, _)| to.as_str()).collect();
     assert_eq!(to, [&*first, &*first, &*first, &*second]);
     let ids: std::collections::BTreeSet<_> = sent.iter().map(|(_, id)| *id).collect();
     assert_eq!(ids.len(), 1);
     for _ in 0..2 {
-        limiter.acquire(&workspace, QUOTA, CALL).await;
+        client.acquire(&workspace, QUOTA, CALL).await;
     }
-    let begun = Instant::now();
-    limiter.acquire(&workspace, QUOTA, CALL).await;
-    assert!(begun.elapsed() < Duration::from_millis(200), "{:?}", begun.elapsed());
+    let start = Instant::now();
+    client.acquire(&workspace, QUOTA, CALL).await;
+    assert!(start.elapsed() < Duration::from_millis(200), "{:?}", start.elapsed());
 }
 
-/// Answers the first question that was sent to an address, in the background.
-fn answer(
+/// Replies to the first request that is sent to an address, in the background.
+fn spawn_reply(
     peers: &Rc<FakePeers>,
-    limiter: &Rc<QuotaClient>,
+    client: &Rc<QuotaClient>,
     from: &str,
     reply: QuotaReply,
-    chief: Option<&str>,
+    limiter: Option<&str>,
 ) {
-    let (peers, limiter, from) = (peers.clone(), limiter.clone(), from.to_owned());
-    let chief = chief.map(Box::from);
+    let (peers, client, from) = (peers.clone(), client.clone(), from.to_owned());
+    let limiter = limiter.map(Box::from);
     tokio::task::spawn_local(async move {
         loop {
-            let asked = peers.questions();
-            if let Some((_, id)) = asked.iter().find(|(to, _)| *to == from) {
-                limiter.take(&from, QuotaMessage::Reply { id: *id, reply, chief });
+            let requests = peers.requests();
+            if let Some((_, id)) = requests.iter().find(|(to, _)| *to == from) {
+                client.take(&from, QuotaMessage::Reply { id: *id, reply, chief: limiter });
                 return;
             }
             sleep(Duration::from_millis(1)).await;
@@ -149,85 +156,85 @@
     });
 }
 
-/// All have just started: whoever is asked knows one that comes before it, which this instance has not
-/// heard of. It is asked at once, instead of taking the first one's refusal for the limit's.
+/// Shortly after a start a peer may know the limiter when this instance does not. The peer's refusal
+/// must not count as the limiter's.
 #[actix_rt::test]
-async fn whoever_is_pointed_to_is_asked() {
-    let (peers, limiter) = asker(&["a", "b", "c"], Some(0));
-    let (workspace, first, _) = foreign(&limiter);
+async fn limiter_named_in_a_refusal_is_asked() {
+    let (peers, client) = start_client(&["a", "b", "c"], Some(0));
+    let (workspace, first, _) = remote_workspace(&client);
     let refused = QuotaReply::Refused { retry_after: Duration::from_millis(100) };
-    answer(&peers, &limiter, &first, refused, Some("stranger"));
+    spawn_reply(&peers, &client, &first, refused, Some("unknown_peer"));
     let granted = QuotaReply::Granted { after: Duration::ZERO };
-    answer(&peers, &limiter, "stranger", granted, None);
-    let outcome = limiter.acquire(&workspace, QUOTA, CALL).await;
+    spawn_reply(&peers, &client, "unknown_peer", granted, None);
+    let outcome = client.acquire(&workspace, QUOTA, CALL).await;
     assert!(is_granted(&outcome), "{outcome:?}");
 }
 
-/// What was granted goes back to whoever granted it, while it is fresh.
+/// Old permits that are released all at once would let a second burst through.
 #[actix_rt::test]
-async fn only_a_fresh_place_goes_back() {
-    let (peers, limiter) = asker(&["a", "b", "c"], Some(0));
-    let (workspace, first, _) = foreign(&limiter);
+async fn only_a_recent_permit_is_released_to_its_limiter() {
+    let (peers, client) = start_client(&["a", "b", "c"], Some(0));
+    let (workspace, first, _) = remote_workspace(&client);
     let granted = QuotaReply::Granted { after: Duration::ZERO };
-    for (age, back) in [(0, 1), (600, 1)] {
+    for (age, released_count) in [(0, 1), (600, 1)] {
         peers.sent.borrow_mut().retain(|(_, m)| matches!(m, QuotaMessage::GiveBack { .. }));
-        answer(&peers, &limiter, &first, granted, None);
-        let QuotaOutcome::Granted(place) = limiter.acquire(&workspace, QUOTA, CALL).await else {
-            panic!("it is granted");
+        spawn_reply(&peers, &client, &first, granted, None);
+        let QuotaOutcome::Granted(permit) = client.acquire(&workspace, QUOTA, CALL).await else {
+            panic!("the request is granted");
         };
         sleep(Duration::from_millis(age)).await;
-        limiter.release(place);
+        client.release(permit);
         let sent = peers.sent.borrow();
-        let given: Vec<_> =
+        let released: Vec<_> =
             sent.iter().filter(|(_, m)| matches!(m, QuotaMessage::GiveBack { .. })).collect();
-        assert_eq!(given.len(), back, "after {age} ms");
-        assert!(given.iter().all(|(to, _)| *to == first));
+        assert_eq!(released.len(), released_count, "after {age} ms");
+        assert!(released.iter().all(|(to, _)| *to == first));
     }
 }
 
-/// An instance that knows neither the configuration nor how many members there are keeps silent: it
-/// would give out a limit that it does not know, or the whole of one.
+/// Without the configuration or the number of members an instance could grant more than its share.
 #[tokio::test(start_paused = true)]
-async fn without_knowledge_nobody_is_answered() {
-    let ask = |workspace: &str| QuotaMessage::Ask { id: 1, workspace: workspace.into(), ask: CALL };
-    for (least, workspace, answers) in [(None, "w", 0), (Some(0), "unknown", 0), (Some(0), "w", 1)]
+async fn request_gets_no_reply_without_configuration_or_member_count() {
+    let request =
+        |workspace: &str| QuotaMessage::Ask { id: 1, workspace: workspace.into(), ask: CALL };
+    for (min_members, workspace, reply_count) in
+        [(None, "w", 0), (Some(0), "unknown", 0), (Some(0), "w", 1)]
     {
-        let (peers, limiter) = asker(&[], least);
-        limiter.take("a", ask(workspace));
-        assert_eq!(peers.sent.borrow().len(), answers, "{least:?} {workspace}");
+        let (peers, client) = start_client(&[], min_members);
+        client.take("a", request(workspace));
+        assert_eq!(peers.sent.borrow().len(), reply_count, "{min_members:?} {workspace}");
     }
 }
 
-fn level(limiter: &QuotaClient) -> f64 {
-    limiter.samples().first().expect("it limits one").level
+fn level(client: &QuotaClient) -> f64 {
+    client.samples().first().expect("the client limits one workspace").level
 }
 
-/// Its bucket has filled. Then the process stands still for some seconds, or others took it for failed
-/// and asked somebody else: it begins empty, or its burst would be given out twice in one window.
+/// While a limiter is paused or suspected another one may grant the burst; granting it again on return
+/// would exceed the limit within one window.
 #[rstest::rstest]
 #[case::paused(true)]
-#[case::doubted(false)]
+#[case::suspected(false)]
 #[tokio::test(start_paused = true)]
-async fn an_absent_limiter_begins_empty(#[case] paused: bool) {
-    let (peers, limiter) = asker(&[], Some(0));
+async fn limiter_restarts_empty_after_a_pause_or_suspicion(#[case] paused: bool) {
+    let (peers, client) = start_client(&[], Some(0));
     let workspace: WorkspaceId = "w".into();
     let local = tokio::task::LocalSet::new();
     local
         .run_until(async {
-            let run = tokio::task::spawn_local(limiter.clone().run());
+            let run = tokio::task::spawn_local(client.clone().run());
             sleep(Duration::from_secs(20)).await;
-            assert!(is_granted(&limiter.acquire(&workspace, QUOTA, CALL).await));
-            assert!(level(&limiter) > 90.0, "{}", level(&limiter));
+            assert!(is_granted(&client.acquire(&workspace, QUOTA, CALL).await));
+            assert!(level(&client) > 90.0, "{}", level(&client));
             match paused {
                 true => {
-                    // Nothing runs meanwhile.
                     run.abort();
                     sleep(Duration::from_secs(3)).await;
                 }
                 false => peers.suspicions.set(1),
             }
-            let _ = limiter.acquire(&workspace, QUOTA, CALL).await;
-            assert!(level(&limiter) < 5.0, "{}", level(&limiter));
+            let _ = client.acquire(&workspace, QUOTA, CALL).await;
+            assert!(level(&client) < 5.0, "{}", level(&client));
         })
         .await;
     advance(Duration::ZERO).await;
