--- a/src/gateway/quotas/messages_tests.rs
+++ b/src/gateway/quotas/messages_tests.rs
@@ -1,4 +1,4 @@
-//! Datagrams about limits keep their form, so that two releases understand each other.
+//! Guards the wire format of quota datagrams between instances of different releases.
 
 use rstest::rstest;
 
@@ -10,8 +10,8 @@
     br#"{"reply":{"id":7,"reply":{"refused":{"retry_after":{"secs":1,"nanos":0}}},"chief":"b"}}"#
 )]
 #[case::release(br#"{"give_back":{"workspace":"w","ask":{"opens":false}}}"#)]
-fn datagrams_keep_their_form(#[case] text: &[u8]) {
+fn decoded_datagram_encodes_to_the_same_bytes(#[case] text: &[u8]) {
     let datagram = [&[0xFF], text].concat();
-    let message = QuotaMessage::decode(&datagram).expect("it is one about limits");
-    assert_eq!(message.expect("it is readable").encode(), datagram);
+    let message = QuotaMessage::decode(&datagram).expect("a quota datagram");
+    assert_eq!(message.expect("well formed").encode(), datagram);
 }
