--- a/src/gateway/quotas/member_counter.rs
+++ b/src/gateway/quotas/member_counter.rs
@@ -1,8 +1,7 @@
-//! How many members the deployment has, kept in the store for those that start.
+//! Keeps the number of members in the store for starting instances.
 //!
-//! Where all instances start at once, each knows itself first and the others after a second or two. Each
-//! would take itself for the limiter of all workspaces and give out every limit in whole; with the
-//! number of members at hand it gives out a part that fits what it sees.
+//! After a mass start each instance knows only itself at first and takes itself for the limiter of
+//! all workspaces. With the stored number it grants only the share that fits the members it sees.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -19,27 +18,21 @@
 
 const TABLE: &str = "gateways";
 const KEY: &str = "members";
-/// Pause after a failed question of an instance that starts.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// After this an instance knows the others by itself: news of a member reaches hundreds within some
-/// seconds.
-const LEARNED: Duration = Duration::from_secs(10);
-/// How often the number is looked at. It matters when all start anew, and changes by machines that are
-/// added one by one.
-const PACE: Duration = Duration::from_secs(5);
-/// Part by which the number must differ to be written: a write for each member that comes or goes
-/// would tell nothing that matters.
-const CHANGE: f64 = 0.05;
+const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// After this time gossip has spread all members to a started instance.
+const DISCOVERY_DELAY: Duration = Duration::from_secs(10);
+const COUNT_INTERVAL: Duration = Duration::from_secs(5);
+/// Fraction of the stored count. Smaller changes are not worth a write.
+const COUNT_TOLERANCE: f64 = 0.05;
 
-/// Number of members at least; none while it was not read.
+/// Lower bound on the number of members; none until it has been read.
 pub(crate) type MinMembers = Rc<Cell<Option<usize>>>;
 
-/// Reads the number of members at the start and keeps it up to date.
 pub(crate) struct MemberCounter {
     me: InstanceId,
     store: Rc<StoreLink>,
     peers: Rc<dyn QuotaPeers>,
-    least: MinMembers,
+    min_members: MinMembers,
 }
 
 impl MemberCounter {
@@ -47,41 +40,41 @@
         me: InstanceId,
         store: Rc<StoreLink>,
         peers: Rc<dyn QuotaPeers>,
-        least: MinMembers,
+        min_members: MinMembers,
     ) -> Self {
-        Self { me, store, peers, least }
+        Self { me, store, peers, min_members }
     }
 
-    /// Runs until the instance ends.
     pub(crate) async fn run(self) {
         let (mut version, mut stored) = loop {
             match self.read().await {
                 Ok(read) => break read,
-                Err(_) => sleep(RETRY_PAUSE).await,
+                Err(_) => sleep(READ_RETRY_DELAY).await,
             }
         };
         log::info!("event=members_read count={stored}");
-        self.least.set(Some(stored));
-        sleep(LEARNED).await;
-        self.least.set(Some(0));
+        self.min_members.set(Some(stored));
+        sleep(DISCOVERY_DELAY).await;
+        self.min_members.set(Some(0));
         loop {
             let members = self.peers.quota_members();
             let count = alive(&members).count();
-            let differs = count.abs_diff(stored) as f64 > CHANGE * stored as f64;
-            if differs && self.is_writer(&members) {
+            let is_changed = count.abs_diff(stored) as f64 > COUNT_TOLERANCE * stored as f64;
+            if is_changed && self.is_writer(&members) {
                 match self.write(count, version).await {
-                    Ok(Some(newer)) => (version, stored) = (newer, count),
-                    // Somebody else wrote it, or may have.
+                    Ok(Some(new_version)) => (version, stored) = (new_version, count),
+                    // Another instance wrote the count, or this write may have been applied.
                     Ok(None) | Err(_) => {
                         (version, stored) = self.read().await.unwrap_or((version, stored))
                     }
                 }
             }
-            sleep(PACE).await;
+            sleep(COUNT_INTERVAL).await;
         }
     }
 
-    /// One member writes for all; two that both think so are told apart by the store.
+    /// Where views differ several members are writers; the version check of the store lets one
+    /// succeed.
     fn is_writer(&self, members: &[QuotaMember]) -> bool {
         alive(members).map(|member| &member.instance).min() == Some(&self.me)
     }
@@ -106,7 +99,7 @@
         Ok((row.version, count))
     }
 
-    /// Writes the number if nobody else has; the row's new version.
+    /// Returns the row's new version; none if the row has changed since `version`.
     async fn write(
         &self,
         count: usize,
