--- a/src/gateway/call/quota.rs
+++ b/src/gateway/call/quota.rs
@@ -44,7 +44,7 @@
         let outcome = timeout_at(call.deadline, asked)
             .await
             .unwrap_or(QuotaOutcome::Uncertain { retry_after: DEADLINE_RETRY });
-        self.metrics.quota_asked(&workspace.name, outcome.word(), call.arrived.elapsed());
+        self.metrics.quota_asked(&workspace.name, outcome.label(), call.arrived.elapsed());
         let (refusal, retry_after) = match outcome {
             QuotaOutcome::Granted(place) => return Ok(CallPlace { quotas, place: Some(place) }),
             QuotaOutcome::OverLimit { retry_after } => {
--- a/src/gateway/quotas/client.rs
+++ b/src/gateway/quotas/client.rs
@@ -314,7 +314,7 @@
                     workspace: workspace.clone(),
                     request,
                     limiter: decision.limiter,
-                    granted: Instant::now(),
+                    granted_at: Instant::now(),
                 })
             }
             QuotaReply::Refused { retry_after } => QuotaOutcome::OverLimit { retry_after },
@@ -322,7 +322,7 @@
     }
 
     fn release(&self, permit: QuotaPermit) {
-        if !permit.is_fresh() {
+        if !permit.is_releasable() {
             return;
         }
         match &permit.limiter {
--- a/src/gateway/quotas/mod.rs
+++ b/src/gateway/quotas/mod.rs
@@ -1,4 +1,5 @@
-//! Limits of workspaces over all instances: asks whoever keeps them, and keeps some for the others.
+//! Enforces the limits of workspaces across all instances. Each workspace has a limiter among them
+//! that grants its permits.
 
 mod client;
 mod member_counter;
@@ -20,31 +21,28 @@
 pub(crate) use self::messages::QuotaMessage;
 pub(crate) use self::shares::ShareEnforcer;
 
-/// Path of the limits in force, on the address for peers.
+/// Served on the peer address.
 pub const LIMITS_PATH: &str = "/limits";
 
-/// How lately a place must have been granted to be given back. A claim takes some 16 ms, and a store
-/// that is away holds it for seconds: places of that age, put back all at once, would let a second
-/// burst through.
-const GIVE_BACK_AGE: Duration = Duration::from_millis(500);
+/// Older permits are not released. A store outage holds requests for seconds; their permits, released
+/// all at once, would let a second burst through.
+const MAX_RELEASE_AGE: Duration = Duration::from_millis(500);
 
-/// What a request that wants to be sent on is told.
 #[derive(Debug)]
 pub(crate) enum QuotaOutcome {
     Granted(QuotaPermit),
-    /// The workspace has asked more than its limit.
     OverLimit {
         retry_after: Duration,
     },
-    /// Nobody knows: whoever limits the workspace does not answer.
+    /// Neither the limiter nor its standby replied.
     Uncertain {
         retry_after: Duration,
     },
 }
 
 impl QuotaOutcome {
-    /// For metrics.
-    pub(crate) fn word(&self) -> &'static str {
+    /// Label value of metrics.
+    pub(crate) fn label(&self) -> &'static str {
         match self {
             Self::Granted(_) => "granted",
             Self::OverLimit { .. } => "over_limit",
@@ -53,27 +51,25 @@
     }
 }
 
-/// A place within a workspace's limit.
+/// The right to send one request of a workspace upstream.
 #[derive(Debug)]
 pub(crate) struct QuotaPermit {
     workspace: WorkspaceId,
     request: QuotaRequest,
-    /// Who granted it; none if that was this instance.
+    /// Address of the limiter; none if this instance granted the permit.
     limiter: Option<Box<str>>,
-    granted: Instant,
+    granted_at: Instant,
 }
 
 impl QuotaPermit {
-    /// Whether it is so new that it may be given back.
-    fn is_fresh(&self) -> bool {
-        self.granted.elapsed() < GIVE_BACK_AGE
+    fn is_releasable(&self) -> bool {
+        self.granted_at.elapsed() < MAX_RELEASE_AGE
     }
 }
 
-/// A way to keep limits over all instances.
 #[async_trait(?Send)]
 pub(crate) trait QuotaEnforcer {
-    /// Waits for a place within a workspace's limit.
+    /// Waits until the permit may be used.
     async fn acquire(
         &self,
         workspace: &WorkspaceId,
@@ -81,26 +77,25 @@
         request: QuotaRequest,
     ) -> QuotaOutcome;
 
-    /// Gives back the place of a request that has not run and never will.
-    fn release(&self, place: QuotaPermit);
+    /// Refunds the permit of a request that no upstream has run or will run.
+    fn release(&self, permit: QuotaPermit);
 
-    /// Limits kept here.
+    /// Limits of which this instance is the limiter or the standby.
     fn samples(&self) -> Vec<LimitSample>;
 }
 
-/// The members, and the way to them.
 pub(crate) trait QuotaPeers {
-    /// Rises whenever the members change.
+    /// Incremented at each change of the members.
     fn changes(&self) -> u64;
-    /// Rises whenever others took this instance for failed.
+    /// Incremented at each suspicion of this instance by another member.
     fn suspicions(&self) -> u64;
     fn quota_members(&self) -> Vec<QuotaMember>;
-    /// Sends a datagram, which may be lost.
+    /// The datagram may be lost.
     fn send(&self, to: &str, datagram: &[u8]);
 }
 
-/// What a limiter reads of the configuration.
+/// Reads limits from the configuration.
 pub(crate) trait QuotaSource {
-    /// The limit of a workspace; none if it has none, or if none is known yet.
+    /// None if the workspace has no limit, or if no configuration has been read yet.
     fn quota(&self, workspace: &str) -> Option<QuotaLimit>;
 }
--- a/src/gateway/quotas/shares.rs
+++ b/src/gateway/quotas/shares.rs
@@ -1,4 +1,4 @@
-//! The other way that was weighed: each instance keeps an equal part of each limit by itself.
+//! Enforces quotas without requests between instances: each enforces an equal share of each limit.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -13,17 +13,20 @@
     LimitSample, QuotaBounds, QuotaLimit, QuotaReply, QuotaRequest, QuotaShare,
 };
 
-/// Limits in equal parts.
 pub(crate) struct ShareEnforcer {
     bounds: QuotaBounds,
     peers: Rc<dyn QuotaPeers>,
-    least: MinMembers,
+    min_members: MinMembers,
     shares: RefCell<HashMap<WorkspaceId, QuotaShare>>,
 }
 
 impl ShareEnforcer {
-    pub(crate) fn new(bounds: QuotaBounds, peers: Rc<dyn QuotaPeers>, least: MinMembers) -> Self {
-        Self { bounds, peers, least, shares: RefCell::default() }
+    pub(crate) fn new(
+        bounds: QuotaBounds,
+        peers: Rc<dyn QuotaPeers>,
+        min_members: MinMembers,
+    ) -> Self {
+        Self { bounds, peers, min_members, shares: RefCell::default() }
     }
 }
 
@@ -36,23 +39,24 @@
         request: QuotaRequest,
     ) -> QuotaOutcome {
         let now = Instant::now();
-        let instances = self.peers.quota_members().len().max(self.least.get().unwrap_or(0));
+        let member_count =
+            self.peers.quota_members().len().max(self.min_members.get().unwrap_or(0));
         let reply = {
             let mut shares = self.shares.borrow_mut();
             let share = shares.entry(workspace.clone()).or_insert_with(|| QuotaShare::new(now));
-            share.decide(quota, self.bounds, instances, now)
+            share.decide(quota, self.bounds, member_count, now)
         };
         match reply {
             QuotaReply::Granted { after } => {
                 sleep(after).await;
-                let (workspace, granted) = (workspace.clone(), Instant::now());
-                QuotaOutcome::Granted(QuotaPermit { workspace, request, limiter: None, granted })
+                let (workspace, granted_at) = (workspace.clone(), Instant::now());
+                QuotaOutcome::Granted(QuotaPermit { workspace, request, limiter: None, granted_at })
             }
             QuotaReply::Refused { retry_after } => QuotaOutcome::OverLimit { retry_after },
         }
     }
 
-    fn release(&self, _place: QuotaPermit) {}
+    fn release(&self, _permit: QuotaPermit) {}
 
     fn samples(&self) -> Vec<LimitSample> {
         Vec::new()
