--- a/src/gateway/quotas/messages.rs
+++ b/src/gateway/quotas/messages.rs
@@ -5,8 +5,8 @@
 use crate::core::ids::WorkspaceId;
 use crate::core::quotas::{QuotaReply, QuotaRequest, QuotaRequestId};
 
-/// First byte of each quota datagram. No datagram of the failure detector starts with it: read as a
-/// Cap'n Proto segment count, it exceeds what a datagram can hold.
+/// First byte of each quota datagram. Datagrams of the failure detector are packed Cap'n Proto, where
+/// it announces more segments than a datagram can hold.
 const MESSAGE_TAG: u8 = 0xFF;
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
--- a/src/gateway/quotas/mod.rs
+++ b/src/gateway/quotas/mod.rs
@@ -87,7 +87,7 @@
 pub(crate) trait QuotaPeers {
     /// Incremented at each change of the members.
     fn changes(&self) -> u64;
-    /// Incremented at each suspicion of this instance by another member.
+    /// Incremented when this instance refutes a suspicion by other members.
     fn suspicions(&self) -> u64;
     fn quota_members(&self) -> Vec<QuotaMember>;
     /// The datagram may be lost.
