--- a/src/gateway/members/mod.rs
+++ b/src/gateway/members/mod.rs
@@ -130,7 +130,7 @@
         let actions = {
             let mut table = self.table.borrow_mut();
             let me = table.me().instance.clone();
-            if !table.iter().any(|member| member.instance != me && is_offered(member)) {
+            if !table.iter().any(|member| member.instance != me && is_ready(member)) {
                 return false;
             }
             table.set_http_address("");
@@ -149,7 +149,7 @@
     /// Where callers may connect, this instance's zone first.
     pub(crate) fn caller_addresses(&self, zone: &str) -> Vec<Box<str>> {
         let table = self.table.borrow();
-        let mut members: Vec<_> = table.iter().filter(|member| is_offered(member)).collect();
+        let mut members: Vec<_> = table.iter().filter(|member| is_ready(member)).collect();
         let near = members.iter().filter(|member| *member.zone == *zone).count();
         if near >= ENOUGH_NEAR {
             members.retain(|member| *member.zone == *zone);
@@ -165,7 +165,7 @@
         self.span.set(span);
         let table = self.table.borrow();
         let me = table.me();
-        let near = table.iter().filter(|member| is_offered(member) && member.zone == me.zone);
+        let near = table.iter().filter(|member| is_ready(member) && member.zone == me.zone);
         let chosen = coordinator(program, span.instances(), near.map(|member| &*member.instance))?;
         let chosen = table.iter().find(|member| *member.instance == *chosen)?;
         (chosen.instance != me.instance).then(|| chosen.rpc_address.clone())
@@ -178,7 +178,7 @@
     ) -> Vec<ProgramName> {
         let table = self.table.borrow();
         let me = table.me();
-        let near = table.iter().filter(|member| is_offered(member) && member.zone == me.zone);
+        let near = table.iter().filter(|member| is_ready(member) && member.zone == me.zone);
         let span = self.span.get().instances();
         let coordinators = coordinators(span, near.map(|member| &*member.instance));
         let others = programs.into_iter().filter(|program| {
@@ -317,7 +317,7 @@
 }
 
 /// Whether callers are sent to a member.
-fn is_offered(member: &MemberInfo) -> bool {
+fn is_ready(member: &MemberInfo) -> bool {
     member.state == MemberState::Alive && !member.http_address.is_empty()
 }
 
--- a/src/gateway/members/roles.rs
+++ b/src/gateway/members/roles.rs
@@ -2,7 +2,7 @@
 
 use rand::seq::SliceRandom;
 
-use super::{MemberView, is_offered};
+use super::{MemberView, is_ready};
 use crate::core::members::{GroupRole, MemberInfo, MemberState, group_role, tree_role};
 use crate::core::quotas::{LimiterStatus, QuotaMember};
 use crate::gateway::news::NewsReaders;
@@ -59,7 +59,7 @@
         others.shuffle(&mut rand::rng());
         // One that offers itself to callers reaches the store; bytes between zones have a price.
         let zone = &table.me().zone;
-        others.sort_by_key(|member| (!is_offered(member), member.zone != *zone));
+        others.sort_by_key(|member| (!is_ready(member), member.zone != *zone));
         others.into_iter().map(|member| member.rpc_address.clone()).collect()
     }
 }
@@ -68,7 +68,7 @@
     fn news_reader(&self) -> Option<Box<str>> {
         let table = self.table.borrow();
         let me = table.me();
-        let near = table.iter().filter(|member| is_offered(member) && member.zone == me.zone);
+        let near = table.iter().filter(|member| is_ready(member) && member.zone == me.zone);
         let names = near.map(|member| &*member.instance);
         let place = tree_role("news", &me.instance, READER_SPAN, READER_ROOTS, names);
         let GroupRole::Follower(reader) = place else { return None };
@@ -79,7 +79,7 @@
     fn reads_news(&self) -> bool {
         let table = self.table.borrow();
         let me = table.me();
-        let near = table.iter().filter(|member| is_offered(member) && member.zone == me.zone);
+        let near = table.iter().filter(|member| is_ready(member) && member.zone == me.zone);
         let names = near.map(|member| &*member.instance);
         group_role("news", &me.instance, READER_SPAN, names) == GroupRole::Leader
     }
