--- a/src/gateway/members/mod.rs
+++ b/src/gateway/members/mod.rs
@@ -115,7 +115,7 @@
     }
 
     /// Tells the others that callers may be sent here.
-    pub(crate) fn announce(&self, address: &str) {
+    pub(crate) fn mark_ready(&self, address: &str) {
         let actions = {
             let mut table = self.table.borrow_mut();
             table.set_http_address(address);
@@ -126,7 +126,7 @@
 
     /// Tells the others that callers are better served elsewhere for now; false if nobody else serves
     /// them.
-    pub(crate) fn withdraw(&self) -> bool {
+    pub(crate) fn try_mark_unready(&self) -> bool {
         let actions = {
             let mut table = self.table.borrow_mut();
             let me = table.me().instance.clone();
--- a/src/gateway/offer.rs
+++ b/src/gateway/offer.rs
@@ -50,7 +50,7 @@
                 self.make_offer();
             }
             OfferState::Offered if relayed.is_some_and(|since| since >= WITHDRAW_AFTER) => {
-                if self.members.withdraw() {
+                if self.members.try_mark_unready() {
                     self.offer.state.set(OfferState::Withdrawn);
                     log::info!("event=offer_withdrawn cause=store_by_peers_only");
                 }
@@ -65,6 +65,6 @@
 
     fn make_offer(&self) {
         self.offer.state.set(OfferState::Offered);
-        self.members.announce(&self.settings.caller_address);
+        self.members.mark_ready(&self.settings.caller_address);
     }
 }
