--- a/src/gateway/members/mod.rs
+++ b/src/gateway/members/mod.rs
@@ -50,11 +50,11 @@
     clock: RefCell<CausalClock>,
     seeds: RefCell<Vec<Box<str>>>,
     /// Version of the routes here, which travels with every message.
-    head: Cell<ConfigVersion>,
+    config_head: Cell<ConfigVersion>,
     /// Newest version of the routes that a peer has.
-    heard_head: Cell<ConfigVersion>,
+    peer_config_head: Cell<ConfigVersion>,
     /// When it was first heard of.
-    heard_at: Cell<Instant>,
+    peer_head_since: Cell<Instant>,
     span: Cell<CoordinatorSpan>,
     /// Who takes datagrams about limits.
     quotas: RefCell<Option<Rc<dyn QuotaListener>>>,
@@ -87,9 +87,9 @@
             socket,
             clock: RefCell::default(),
             seeds: RefCell::new(seed_addresses(settings)),
-            head: Cell::new(0),
-            heard_head: Cell::new(0),
-            heard_at: Cell::new(Instant::now()),
+            config_head: Cell::new(0),
+            peer_config_head: Cell::new(0),
+            peer_head_since: Cell::new(Instant::now()),
             span: Cell::default(),
             quotas: RefCell::default(),
         }
@@ -105,13 +105,13 @@
     }
 
     /// Sets the version of the routes in force here.
-    pub(crate) fn set_head(&self, version: ConfigVersion) {
-        self.head.set(version);
+    pub(crate) fn set_config_head(&self, version: ConfigVersion) {
+        self.config_head.set(version);
     }
 
     /// Newest version of the routes that any peer has told of, and when one first did.
-    pub(crate) fn heard_head(&self) -> (ConfigVersion, Instant) {
-        (self.heard_head.get(), self.heard_at.get())
+    pub(crate) fn peer_config_head(&self) -> (ConfigVersion, Instant) {
+        (self.peer_config_head.get(), self.peer_head_since.get())
     }
 
     /// Tells the others that callers may be sent here.
@@ -255,9 +255,9 @@
 
     fn take(&self, message: &GossipMessage) {
         self.clock.borrow_mut().observe(wall(), message.stamp);
-        if message.config_head > self.heard_head.get() {
-            self.heard_head.set(message.config_head);
-            self.heard_at.set(Instant::now());
+        if message.config_head > self.peer_config_head.get() {
+            self.peer_config_head.set(message.config_head);
+            self.peer_head_since.set(Instant::now());
         }
         let actions = {
             let mut table = self.table.borrow_mut();
@@ -295,7 +295,7 @@
             match action {
                 MemberAction::Send { to, mut message } => {
                     message.stamp = self.clock.borrow_mut().tick(wall());
-                    message.config_head = self.head.get();
+                    message.config_head = self.config_head.get();
                     self.send_datagram(&to, &encode_gossip(&message));
                 }
                 MemberAction::Answered(_) => {}
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -214,8 +214,8 @@
     /// a connection that has gone silent.
     async fn follow_heads(&self) {
         let version = self.news.routes().map_or(0, |table| table.version);
-        self.members.set_head(version);
-        let (heard, since) = self.members.heard_head();
+        self.members.set_config_head(version);
+        let (heard, since) = self.members.peer_config_head();
         let patience = if self.news.is_led() { READER_PATIENCE } else { Duration::ZERO };
         if heard > version && version > 0 && since.elapsed() >= patience {
             self.news.catch_up(heard).await;
