--- a/src/gateway/members/mod.rs
+++ b/src/gateway/members/mod.rs
@@ -172,7 +172,7 @@
     }
 
     /// Which of these programs this instance does not coordinate.
-    pub(crate) fn not_coordinated<'a>(
+    pub(crate) fn coordinated_elsewhere<'a>(
         &self,
         programs: impl IntoIterator<Item = &'a ProgramName>,
     ) -> Vec<ProgramName> {
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -203,7 +203,7 @@
             self.pool.prune();
             let changes = self.members.changes();
             if std::mem::replace(&mut seen, changes) != changes || self.is_draining() {
-                self.turns.hand_over(|programs| self.members.not_coordinated(programs));
+                self.turns.hand_over(|programs| self.members.coordinated_elsewhere(programs));
             }
             self.follow_heads().await;
             sleep(if self.offer.is_announced() { CHORES_PACE } else { START_PACE }).await;
