--- a/src/gateway/members/mod.rs
+++ b/src/gateway/members/mod.rs
@@ -193,7 +193,7 @@
     }
 
     /// Members that are alive as far as this instance knows, itself included.
-    pub(crate) fn alive(&self) -> usize {
+    pub(crate) fn alive_count(&self) -> usize {
         let table = self.table.borrow();
         table.iter().filter(|member| member.state == MemberState::Alive).count()
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -83,7 +83,7 @@
     /// Brings the gauges up to date.
     pub(crate) fn sample_metrics(&self) {
         self.metrics.sample(&GatewaySample {
-            members: self.members.alive() as u64,
+            members: self.members.alive_count() as u64,
             upstreams: self.news.upstreams.borrow().len() as u64,
             upstreams_aside: self.news.upstreams.borrow().ejected_count(Instant::now()) as u64,
             routes_version: self.news.routes().map_or(0, |table| table.version),
