--- a/src/gateway/members/mod.rs
+++ b/src/gateway/members/mod.rs
@@ -57,12 +57,12 @@
     peer_head_since: Cell<Instant>,
     span: Cell<CoordinatorSpan>,
     /// Who takes datagrams about limits.
-    quotas: RefCell<Option<Rc<dyn QuotaListener>>>,
+    quota_listener: RefCell<Option<Rc<dyn QuotaListener>>>,
 }
 
 /// Takes datagrams about limits that come on the members' socket.
 pub(crate) trait QuotaListener {
-    fn take(&self, from: &str, message: QuotaMessage);
+    fn receive(&self, from: &str, message: QuotaMessage);
 }
 
 impl MemberView {
@@ -91,7 +91,7 @@
             peer_config_head: Cell::new(0),
             peer_head_since: Cell::new(Instant::now()),
             span: Cell::default(),
-            quotas: RefCell::default(),
+            quota_listener: RefCell::default(),
         }
     }
 
@@ -100,8 +100,8 @@
     }
 
     /// Sets who takes datagrams about limits.
-    pub(crate) fn set_quotas(&self, quotas: Rc<dyn QuotaListener>) {
-        *self.quotas.borrow_mut() = Some(quotas);
+    pub(crate) fn set_quota_listener(&self, listener: Rc<dyn QuotaListener>) {
+        *self.quota_listener.borrow_mut() = Some(listener);
     }
 
     /// Sets the version of the routes in force here.
@@ -245,8 +245,8 @@
     fn take_quota(&self, from: &str, message: Result<QuotaMessage, serde_json::Error>) {
         match message {
             Ok(message) => {
-                if let Some(quotas) = &*self.quotas.borrow() {
-                    quotas.take(from, message);
+                if let Some(listener) = &*self.quota_listener.borrow() {
+                    listener.receive(from, message);
                 }
             }
             Err(error) => log::warn!("event=quota_malformed from={from} error=\"{error}\""),
--- a/src/gateway/quotas/client.rs
+++ b/src/gateway/quotas/client.rs
@@ -158,7 +158,7 @@
 }
 
 impl QuotaListener for QuotaClient {
-    fn take(&self, from: &str, message: QuotaMessage) {
+    fn receive(&self, from: &str, message: QuotaMessage) {
         match message {
             QuotaMessage::Ask { id, workspace, ask } => {
                 // Without the configuration the limit is unknown, and without the number of members
--- a/src/gateway/quotas/client_tests.rs
+++ b/src/gateway/quotas/client_tests.rs
@@ -148,7 +148,7 @@
         loop {
             let requests = peers.requests();
             if let Some((_, id)) = requests.iter().find(|(to, _)| *to == from) {
-                client.take(&from, QuotaMessage::Reply { id: *id, reply, chief: limiter });
+                client.receive(&from, QuotaMessage::Reply { id: *id, reply, chief: limiter });
                 return;
             }
             sleep(Duration::from_millis(1)).await;
@@ -201,7 +201,7 @@
         [(None, "w", 0), (Some(0), "unknown", 0), (Some(0), "w", 1)]
     {
         let (peers, client) = start_client(&[], min_members);
-        client.take("a", request(workspace));
+        client.receive("a", request(workspace));
         assert_eq!(peers.sent.borrow().len(), reply_count, "{min_members:?} {workspace}");
     }
 }
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -189,7 +189,7 @@
     let by_program = settings.uses(GatewayMechanism::ProgramQuota);
     let limiter = QuotaClient::new(me, bounds, by_program, members.clone(), news.clone(), least);
     let limiter = Rc::new(limiter);
-    members.set_quotas(limiter.clone());
+    members.set_quota_listener(limiter.clone());
     actix_rt::spawn(limiter.clone().run());
     limiter
 }
