--- a/src/gateway/members/mod.rs
+++ b/src/gateway/members/mod.rs
@@ -1,4 +1,4 @@
-//! Who else is there: the failure detector on its socket.
+//! Runs the gossip failure detector on its socket and gives the gateway its view of the members.
 
 mod roles;
 
@@ -20,28 +20,23 @@
 use crate::core::turns::{CoordinatorSpan, ProgramName, coordinator, coordinators};
 use crate::node::peers::{decode_gossip, encode_gossip};
 
-const TICK: Duration = Duration::from_millis(100);
-/// How often an instance that misses a seed asks it for everybody.
-const REJOIN: Duration = Duration::from_secs(2);
-/// When an instance that has started asks the seeds that have not answered, and any member, for
-/// everybody once more. Where all start at once, the seeds do not listen yet when they are asked first, and
-/// know nobody when they are asked next.
-const ASK_AROUND: [Duration; 5] = [
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+const JOIN_INTERVAL: Duration = Duration::from_secs(2);
+/// Delays since the start after which the missing seeds and a random member are asked for the member
+/// list again. In a mass start the seeds do not listen yet at first, and then know no members.
+const MEMBER_LIST_DELAYS: [Duration; 5] = [
     Duration::from_millis(200),
     Duration::from_millis(400),
     Duration::from_millis(700),
     Duration::from_millis(1_100),
     Duration::from_millis(1_600),
 ];
-/// Largest datagram that is read.
 const MAX_DATAGRAM: usize = 64 * 1024;
-/// A member that has not refuted a suspicion for so long is no longer named to callers: their
-/// attempts at it cost them a second each.
-const SUSPICION: Duration = Duration::from_secs(1);
+const SUSPICION_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Instances in a caller's zone that suffice to name no others: a caller that meets a dead one
-/// still has another. It keeps bytes in the zone and programs near their cached history.
-const ENOUGH_NEAR: usize = 2;
+/// From this number of instances in its zone, a caller is sent to these only: it has another one if
+/// one is dead. Traffic stays in the zone, and programs stay close to their cached history.
+const MIN_LOCAL_INSTANCES: usize = 2;
 
 /// The members of the deployment as this instance knows them.
 pub(crate) struct MemberView {
@@ -49,18 +44,16 @@
     socket: UdpSocket,
     clock: RefCell<CausalClock>,
     seeds: RefCell<Vec<Box<str>>>,
-    /// Version of the routes here, which travels with every message.
+    /// Sent with each gossip message.
     config_head: Cell<ConfigVersion>,
-    /// Newest version of the routes that a peer has.
+    /// Newest version of any peer.
     peer_config_head: Cell<ConfigVersion>,
-    /// When it was first heard of.
     peer_head_since: Cell<Instant>,
     span: Cell<CoordinatorSpan>,
-    /// Who takes datagrams about limits.
     quota_listener: RefCell<Option<Rc<dyn QuotaListener>>>,
 }
 
-/// Takes datagrams about limits that come on the members' socket.
+/// Receives the quota datagrams, which share the socket of the failure detector.
 pub(crate) trait QuotaListener {
     fn receive(&self, from: &str, message: QuotaMessage);
 }
@@ -69,18 +62,18 @@
     pub(crate) fn new(settings: &GatewaySettings, socket: UdpSocket, seed: u64) -> Self {
         let me = MemberInfo {
             instance: settings.instance.clone(),
-            incarnation: wall().as_millis() as u64,
+            incarnation: wall_time().as_millis() as u64,
             revision: 0,
             state: MemberState::Alive,
             zone: settings.zone.clone(),
-            // Named only once the instance is ready.
+            // Set when the instance becomes ready.
             http_address: Box::default(),
             rpc_address: settings.peer_address.clone(),
             gossip_address: settings.gossip_address(&settings.peer_address),
             load: MemberLoad::default(),
         };
         let member_settings =
-            MemberSettings { suspicion_timeout: SUSPICION, ..MemberSettings::default() };
+            MemberSettings { suspicion_timeout: SUSPICION_TIMEOUT, ..MemberSettings::default() };
         let table = MemberTable::new(member_settings, me, seed, Instant::now());
         Self {
             table: RefCell::new(table),
@@ -99,22 +92,19 @@
         *self.seeds.borrow_mut() = seed_addresses(settings);
     }
 
-    /// Sets who takes datagrams about limits.
     pub(crate) fn set_quota_listener(&self, listener: Rc<dyn QuotaListener>) {
         *self.quota_listener.borrow_mut() = Some(listener);
     }
 
-    /// Sets the version of the routes in force here.
     pub(crate) fn set_config_head(&self, version: ConfigVersion) {
         self.config_head.set(version);
     }
 
-    /// Newest version of the routes that any peer has told of, and when one first did.
+    /// Newest configuration version of any peer, and when it was first received.
     pub(crate) fn peer_config_head(&self) -> (ConfigVersion, Instant) {
         (self.peer_config_head.get(), self.peer_head_since.get())
     }
 
-    /// Tells the others that callers may be sent here.
     pub(crate) fn mark_ready(&self, address: &str) {
         let actions = {
             let mut table = self.table.borrow_mut();
@@ -124,8 +114,7 @@
         self.perform(actions);
     }
 
-    /// Tells the others that callers are better served elsewhere for now; false if nobody else serves
-    /// them.
+    /// False if no other instance is ready; this one then stays ready.
     pub(crate) fn try_mark_unready(&self) -> bool {
         let actions = {
             let mut table = self.table.borrow_mut();
@@ -140,59 +129,56 @@
         true
     }
 
-    /// Tells the others that callers are no longer to be sent here.
     pub(crate) fn leave(&self) {
         let actions = self.table.borrow_mut().leave(Instant::now());
         self.perform(actions);
     }
 
-    /// Where callers may connect, this instance's zone first.
+    /// Returns addresses for a caller in this zone.
     pub(crate) fn caller_addresses(&self, zone: &str) -> Vec<Box<str>> {
         let table = self.table.borrow();
         let mut members: Vec<_> = table.iter().filter(|member| is_ready(member)).collect();
-        let near = members.iter().filter(|member| *member.zone == *zone).count();
-        if near >= ENOUGH_NEAR {
+        let local_count = members.iter().filter(|member| *member.zone == *zone).count();
+        if local_count >= MIN_LOCAL_INSTANCES {
             members.retain(|member| *member.zone == *zone);
         }
         members.into_iter().map(|member| member.http_address.clone()).collect()
     }
 
-    /// Peer address of the instance that coordinates a program in this zone, for a turn that has come;
-    /// none if that is this one or there is none.
+    /// Counts a turn and returns the peer address of its program's coordinator in this zone; none if
+    /// that is this instance or there is none.
     pub(crate) fn coordinator(&self, program: &str) -> Option<Box<str>> {
         let mut span = self.span.get();
         span.record_turn(Instant::now());
         self.span.set(span);
         let table = self.table.borrow();
         let me = table.me();
-        let near = table.iter().filter(|member| is_ready(member) && member.zone == me.zone);
-        let chosen = coordinator(program, span.instances(), near.map(|member| &*member.instance))?;
+        let local = table.iter().filter(|member| is_ready(member) && member.zone == me.zone);
+        let chosen = coordinator(program, span.instances(), local.map(|member| &*member.instance))?;
         let chosen = table.iter().find(|member| *member.instance == *chosen)?;
         (chosen.instance != me.instance).then(|| chosen.rpc_address.clone())
     }
 
-    /// Which of these programs this instance does not coordinate.
     pub(crate) fn coordinated_elsewhere<'a>(
         &self,
         programs: impl IntoIterator<Item = &'a ProgramName>,
     ) -> Vec<ProgramName> {
         let table = self.table.borrow();
         let me = table.me();
-        let near = table.iter().filter(|member| is_ready(member) && member.zone == me.zone);
+        let local = table.iter().filter(|member| is_ready(member) && member.zone == me.zone);
         let span = self.span.get().instances();
-        let coordinators = coordinators(span, near.map(|member| &*member.instance));
+        let coordinators = coordinators(span, local.map(|member| &*member.instance));
         let others = programs.into_iter().filter(|program| {
             preferred_member(program, coordinators.iter().copied()) != Some(&*me.instance)
         });
         others.cloned().collect()
     }
 
-    /// Changes of the members that this instance has heard of.
     pub(crate) fn changes(&self) -> u64 {
         self.table.borrow().changes()
     }
 
-    /// Members that are alive as far as this instance knows, itself included.
+    /// Includes this instance.
     pub(crate) fn alive_count(&self) -> usize {
         let table = self.table.borrow();
         table.iter().filter(|member| member.state == MemberState::Alive).count()
@@ -202,25 +188,24 @@
         self.table.borrow().me().instance.clone()
     }
 
-    /// Probes and answers until the instance ends.
     pub(crate) async fn run(self: Rc<Self>) {
         actix_rt::spawn(self.clone().receive());
         let mut next_join = Instant::now();
-        let begun = Instant::now();
-        let mut rounds = ASK_AROUND.iter().peekable();
+        let start = Instant::now();
+        let mut delays = MEMBER_LIST_DELAYS.iter().peekable();
         loop {
-            if rounds.next_if(|after| begun.elapsed() >= **after).is_some() {
+            if delays.next_if(|after| start.elapsed() >= **after).is_some() {
                 next_join = Instant::now();
                 let actions = self.table.borrow_mut().request_member_list();
                 self.perform(actions);
             }
             if Instant::now() >= next_join {
-                self.join();
-                next_join = Instant::now() + REJOIN;
+                self.join_missing_seeds();
+                next_join = Instant::now() + JOIN_INTERVAL;
             }
             let actions = self.table.borrow_mut().tick(Instant::now());
             self.perform(actions);
-            sleep(TICK).await;
+            sleep(TICK_INTERVAL).await;
         }
     }
 
@@ -228,21 +213,21 @@
         let mut buffer = vec![0; MAX_DATAGRAM];
         loop {
             let Ok((size, from)) = self.socket.recv_from(&mut buffer).await else {
-                sleep(TICK).await;
+                sleep(TICK_INTERVAL).await;
                 continue;
             };
             if let Some(message) = QuotaMessage::decode(&buffer[..size]) {
-                self.take_quota(&from.to_string(), message);
+                self.handle_quota_message(&from.to_string(), message);
                 continue;
             }
             match decode_gossip(&buffer[..size]) {
-                Ok(message) => self.take(&message),
+                Ok(message) => self.handle_gossip(&message),
                 Err(error) => log::warn!("event=gossip_malformed error=\"{error}\""),
             }
         }
     }
 
-    fn take_quota(&self, from: &str, message: Result<QuotaMessage, serde_json::Error>) {
+    fn handle_quota_message(&self, from: &str, message: Result<QuotaMessage, serde_json::Error>) {
         match message {
             Ok(message) => {
                 if let Some(listener) = &*self.quota_listener.borrow() {
@@ -253,8 +238,8 @@
         }
     }
 
-    fn take(&self, message: &GossipMessage) {
-        self.clock.borrow_mut().observe(wall(), message.stamp);
+    fn handle_gossip(&self, message: &GossipMessage) {
+        self.clock.borrow_mut().observe(wall_time(), message.stamp);
         if message.config_head > self.peer_config_head.get() {
             self.peer_config_head.set(message.config_head);
             self.peer_head_since.set(Instant::now());
@@ -262,9 +247,9 @@
         let actions = {
             let mut table = self.table.borrow_mut();
             let me = table.me().clone();
-            // A wall clock that was set back gave this run a number that the last one had used.
-            let newer = message.updates.iter().filter(|update| update.instance == me.instance);
-            if let Some(newest) = newer.map(|update| update.incarnation).max()
+            // After the wall clock was set back, an earlier incarnation may have a higher number.
+            let mine = message.updates.iter().filter(|update| update.instance == me.instance);
+            if let Some(newest) = mine.map(|update| update.incarnation).max()
                 && newest > me.incarnation
             {
                 table.restart(newest + 1);
@@ -274,17 +259,17 @@
         self.perform(actions);
     }
 
-    /// Asks seeds that are not known to be alive for everybody.
-    fn join(&self) {
+    /// Requests the member list from the seeds that are unknown or dead.
+    fn join_missing_seeds(&self) {
         let actions = {
             let mut table = self.table.borrow_mut();
-            let alive: Vec<Box<str>> = table
+            let known: Vec<Box<str>> = table
                 .iter()
                 .filter(|member| member.state != MemberState::Dead)
                 .map(|member| member.gossip_address.clone())
                 .collect();
             let seeds = self.seeds.borrow();
-            let missing = seeds.iter().filter(|seed| !alive.contains(seed)).cloned();
+            let missing = seeds.iter().filter(|seed| !known.contains(seed)).cloned();
             table.join(missing.collect::<Vec<_>>())
         };
         self.perform(actions);
@@ -294,7 +279,7 @@
         for action in actions {
             match action {
                 MemberAction::Send { to, mut message } => {
-                    message.stamp = self.clock.borrow_mut().tick(wall());
+                    message.stamp = self.clock.borrow_mut().tick(wall_time());
                     message.config_head = self.config_head.get();
                     self.send_datagram(&to, &encode_gossip(&message));
                 }
@@ -307,7 +292,7 @@
         }
     }
 
-    /// Sends a datagram; one that cannot be sent at once is lost, as any may be.
+    /// The datagram is lost if it cannot be sent at once.
     fn send_datagram(&self, to: &str, datagram: &[u8]) {
         let Ok(address) = to.parse::<std::net::SocketAddr>() else { return };
         if let Err(error) = self.socket.try_send_to(datagram, address) {
@@ -316,7 +301,6 @@
     }
 }
 
-/// Whether callers are sent to a member.
 fn is_ready(member: &MemberInfo) -> bool {
     member.state == MemberState::Alive && !member.http_address.is_empty()
 }
@@ -325,6 +309,6 @@
     settings.seeds.iter().map(|seed| settings.gossip_address(seed)).collect()
 }
 
-fn wall() -> Duration {
+fn wall_time() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
