--- a/src/gateway/members/roles.rs
+++ b/src/gateway/members/roles.rs
@@ -1,4 +1,4 @@
-//! What other members do for this one: who limits, relays store calls and reads news.
+//! Selects the members that limit workspaces, relay store calls and lead the change feed.
 
 use rand::seq::SliceRandom;
 
@@ -9,10 +9,10 @@
 use crate::gateway::quotas::QuotaPeers;
 use crate::gateway::store::RelayPeers;
 
-/// Instances for each one that tells the others the store's news.
+/// Instances per leader of the change feed.
 const READER_SPAN: usize = 16;
-/// Readers of a zone that ask the store themselves. Beyond that they follow one of them: what the store
-/// tells of its upstreams grows with their number, so it must not grow with the instances too.
+/// Leaders of a zone that read from the store; further leaders follow one of these. What the store
+/// sends grows with the number of upstreams and must not grow with that of the instances too.
 const READER_ROOTS: usize = 4;
 
 impl QuotaPeers for MemberView {
@@ -57,7 +57,7 @@
             .filter(|member| member.state == MemberState::Alive && member.instance != me);
         let mut others: Vec<_> = others.collect();
         others.shuffle(&mut rand::rng());
-        // One that offers itself to callers reaches the store; bytes between zones have a price.
+        // A ready instance reaches the store, and traffic between zones is charged.
         let zone = &table.me().zone;
         others.sort_by_key(|member| (!is_ready(member), member.zone != *zone));
         others.into_iter().map(|member| member.rpc_address.clone()).collect()
@@ -68,10 +68,10 @@
     fn news_reader(&self) -> Option<Box<str>> {
         let table = self.table.borrow();
         let me = table.me();
-        let near = table.iter().filter(|member| is_ready(member) && member.zone == me.zone);
-        let names = near.map(|member| &*member.instance);
-        let place = tree_role("news", &me.instance, READER_SPAN, READER_ROOTS, names);
-        let GroupRole::Follower(reader) = place else { return None };
+        let local = table.iter().filter(|member| is_ready(member) && member.zone == me.zone);
+        let names = local.map(|member| &*member.instance);
+        let role = tree_role("news", &me.instance, READER_SPAN, READER_ROOTS, names);
+        let GroupRole::Follower(reader) = role else { return None };
         let reader = table.iter().find(|member| *member.instance == *reader)?;
         Some(reader.rpc_address.clone())
     }
@@ -79,8 +79,8 @@
     fn reads_news(&self) -> bool {
         let table = self.table.borrow();
         let me = table.me();
-        let near = table.iter().filter(|member| is_ready(member) && member.zone == me.zone);
-        let names = near.map(|member| &*member.instance);
+        let local = table.iter().filter(|member| is_ready(member) && member.zone == me.zone);
+        let names = local.map(|member| &*member.instance);
         group_role("news", &me.instance, READER_SPAN, names) == GroupRole::Leader
     }
 }
