--- a/src/gateway/members/mod.rs
+++ b/src/gateway/members/mod.rs
@@ -134,7 +134,7 @@
         self.perform(actions);
     }
 
-    /// Returns addresses for a caller in this zone.
+    /// Addresses of ready instances; only those in `zone` if there are enough of them.
     pub(crate) fn caller_addresses(&self, zone: &str) -> Vec<Box<str>> {
         let table = self.table.borrow();
         let mut members: Vec<_> = table.iter().filter(|member| is_ready(member)).collect();
--- a/src/gateway/quotas/client.rs
+++ b/src/gateway/quotas/client.rs
@@ -236,14 +236,14 @@
             }
             None
         };
-        let reply = timeout(ROUND_TIMEOUT, received).await.ok().flatten();
-        if reply.is_none()
+        let decision = timeout(ROUND_TIMEOUT, received).await.ok().flatten();
+        if decision.is_none()
             && round + 1 >= LIMITER_ONLY_ROUNDS
             && let Some(first) = peers.first()
         {
             self.unresponsive.borrow_mut().note(first);
         }
-        reply
+        decision
     }
 
     /// Repeats the request until a member decides; none after the timeout.
@@ -266,9 +266,9 @@
         let deadline = Instant::now() + request_timeout;
         let mut round = 0;
         while Instant::now() < deadline {
-            let reply = self.send_round(request, round, &mut replies).await;
-            if reply.is_some() {
-                return reply;
+            let decision = self.send_round(request, round, &mut replies).await;
+            if decision.is_some() {
+                return decision;
             }
             round += 1;
         }
