--- a/src/gateway/call/quota.rs
+++ b/src/gateway/call/quota.rs
@@ -9,13 +9,13 @@
 use crate::core::turns::TurnScope;
 use crate::gateway::Gateway;
 use crate::gateway::attempt::AttemptProgress;
-use crate::gateway::quotas::{QuotaKeeper, QuotaOutcome, QuotaPlace};
+use crate::gateway::quotas::{QuotaEnforcer, QuotaOutcome, QuotaPermit};
 use crate::gateway::refusal::Refusal;
 
 /// Empty if the workspace of the call has no limit.
 pub(super) struct CallPermit {
-    quotas: Rc<dyn QuotaKeeper>,
-    permit: Option<QuotaPlace>,
+    quotas: Rc<dyn QuotaEnforcer>,
+    permit: Option<QuotaPermit>,
 }
 
 impl CallPermit {
@@ -23,7 +23,7 @@
     pub(super) fn release_if_unrun(mut self, progress: &AttemptProgress) {
         let unrun = !progress.may_have_run();
         if let Some(permit) = self.permit.take().filter(|_| unrun) {
-            self.quotas.give_back(permit);
+            self.quotas.release(permit);
         }
     }
 }
@@ -40,11 +40,11 @@
         // Without a history only the coordinator knows whether a turn is its program's first.
         let opens = call.scope == Some(TurnScope::History) && call.head.previous.is_none();
         let request = QuotaRequest { opens };
-        let reply = quotas.ask(&workspace.name, quota, request);
+        let reply = quotas.acquire(&workspace.name, quota, request);
         let outcome = timeout_at(call.deadline, reply)
             .await
             .unwrap_or(QuotaOutcome::Uncertain { retry_after: DEADLINE_RETRY_DELAY });
-        self.metrics.record_quota(&workspace.name, outcome.word(), call.arrived.elapsed());
+        self.metrics.record_quota(&workspace.name, outcome.label(), call.arrived.elapsed());
         let (refusal, retry_after) = match outcome {
             QuotaOutcome::Granted(permit) => {
                 return Ok(CallPermit { quotas, permit: Some(permit) });
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -37,7 +37,7 @@
 use http::ConnectionPool;
 use members::MemberView;
 use metrics::{GatewayMetrics, GatewaySample};
-use quotas::QuotaKeeper;
+use quotas::QuotaEnforcer;
 use readiness::AdvertisedReadiness;
 use stop::StopState;
 use store::StoreLink;
@@ -57,7 +57,7 @@
     pub(crate) turns: Rc<TurnManager>,
     pub(crate) committer: Rc<StoreCommitter>,
     pub(crate) members: Rc<MemberView>,
-    pub(crate) quotas: Rc<dyn QuotaKeeper>,
+    pub(crate) quotas: Rc<dyn QuotaEnforcer>,
     pub(crate) metrics: GatewayMetrics,
     pub(crate) stop: StopState,
     pub(crate) readiness: AdvertisedReadiness,
@@ -77,7 +77,7 @@
 
     pub(crate) fn sample_metrics(&self) {
         self.metrics.sample(&GatewaySample {
-            members: self.members.alive() as u64,
+            members: self.members.alive_count() as u64,
             upstreams: self.feed.upstreams.borrow().len() as u64,
             upstreams_ejected: self.feed.upstreams.borrow().ejected_count(Instant::now()) as u64,
             routes_version: self.feed.routes().map_or(0, |table| table.version),
--- a/src/gateway/quotas/mod.rs
+++ b/src/gateway/quotas/mod.rs
@@ -1,11 +1,12 @@
-//! Limits of workspaces over all instances: asks whoever keeps them, and keeps some for the others.
+//! Enforces the limits of workspaces across all instances. Each workspace has a limiter among them
+//! that grants its permits.
 
-mod asker;
+mod client;
+mod member_counter;
 mod messages;
 #[cfg(test)]
 mod messages_tests;
 mod shares;
-mod size;
 
 use std::time::Duration;
 
@@ -15,36 +16,33 @@
 use crate::core::ids::WorkspaceId;
 use crate::core::quotas::{LimitSample, QuotaLimit, QuotaMember, QuotaRequest};
 
-pub(crate) use self::asker::LimiterQuota;
+pub(crate) use self::client::QuotaClient;
+pub(crate) use self::member_counter::{MemberCounter, MinMembers};
 pub(crate) use self::messages::QuotaMessage;
-pub(crate) use self::shares::ShareQuota;
-pub(crate) use self::size::{LeastMembers, SizeKeeper};
+pub(crate) use self::shares::ShareEnforcer;
 
-/// Path of the limits in force, on the address for peers.
+/// Served on the peer address.
 pub const LIMITS_PATH: &str = "/limits";
 
-/// How lately a place must have been granted to be given back. A claim takes some 16 ms, and a store
-/// that is away holds it for seconds: places of that age, put back all at once, would let a second
-/// burst through.
-const GIVE_BACK_AGE: Duration = Duration::from_millis(500);
+/// Older permits are not released. A store outage holds requests for seconds; their permits, released
+/// all at once, would let a second burst through.
+const MAX_RELEASE_AGE: Duration = Duration::from_millis(500);
 
-/// What a request that wants to be sent on is told.
 #[derive(Debug)]
 pub(crate) enum QuotaOutcome {
-    Granted(QuotaPlace),
-    /// The workspace has asked more than its limit.
+    Granted(QuotaPermit),
     OverLimit {
         retry_after: Duration,
     },
-    /// Nobody knows: whoever limits the workspace does not answer.
+    /// Neither the limiter nor its standby replied.
     Uncertain {
         retry_after: Duration,
     },
 }
 
 impl QuotaOutcome {
-    /// For metrics.
-    pub(crate) fn word(&self) -> &'static str {
+    /// Label value of metrics.
+    pub(crate) fn label(&self) -> &'static str {
         match self {
             Self::Granted(_) => "granted",
             Self::OverLimit { .. } => "over_limit",
@@ -53,54 +51,51 @@
     }
 }
 
-/// A place within a workspace's limit.
+/// The right to send one request of a workspace upstream.
 #[derive(Debug)]
-pub(crate) struct QuotaPlace {
+pub(crate) struct QuotaPermit {
     workspace: WorkspaceId,
-    ask: QuotaRequest,
-    /// Who granted it; none if that was this instance.
+    request: QuotaRequest,
+    /// Address of the limiter; none if this instance granted the permit.
     limiter: Option<Box<str>>,
-    granted: Instant,
+    granted_at: Instant,
 }
 
-impl QuotaPlace {
-    /// Whether it is so new that it may be given back.
-    fn is_fresh(&self) -> bool {
-        self.granted.elapsed() < GIVE_BACK_AGE
+impl QuotaPermit {
+    fn is_releasable(&self) -> bool {
+        self.granted_at.elapsed() < MAX_RELEASE_AGE
     }
 }
 
-/// A way to keep limits over all instances.
 #[async_trait(?Send)]
-pub(crate) trait QuotaKeeper {
-    /// Waits for a place within a workspace's limit.
-    async fn ask(
+pub(crate) trait QuotaEnforcer {
+    /// Waits until the permit may be used.
+    async fn acquire(
         &self,
         workspace: &WorkspaceId,
         quota: QuotaLimit,
-        ask: QuotaRequest,
+        request: QuotaRequest,
     ) -> QuotaOutcome;
 
-    /// Gives back the place of a request that has not run and never will.
-    fn give_back(&self, place: QuotaPlace);
+    /// Refunds the permit of a request that no upstream has run or will run.
+    fn release(&self, permit: QuotaPermit);
 
-    /// Limits kept here.
+    /// Limits of which this instance is the limiter or the standby.
     fn samples(&self) -> Vec<LimitSample>;
 }
 
-/// The members, and the way to them.
 pub(crate) trait QuotaPeers {
-    /// Rises whenever the members change.
+    /// Incremented at each change of the members.
     fn changes(&self) -> u64;
-    /// Rises whenever others took this instance for failed.
-    fn doubts(&self) -> u64;
+    /// Incremented when this instance refutes a suspicion by other members.
+    fn suspicions(&self) -> u64;
     fn quota_members(&self) -> Vec<QuotaMember>;
-    /// Sends a datagram, which may be lost.
+    /// The datagram may be lost.
     fn send(&self, to: &str, datagram: &[u8]);
 }
 
-/// What a limiter reads of the configuration.
+/// Reads limits from the configuration.
 pub(crate) trait QuotaSource {
-    /// The limit of a workspace; none if it has none, or if none is known yet.
+    /// None if the workspace has no limit, or if no configuration has been read yet.
     fn quota(&self, workspace: &str) -> Option<QuotaLimit>;
 }
--- a/src/gateway/readiness.rs
+++ b/src/gateway/readiness.rs
@@ -45,7 +45,7 @@
                 self.advertise();
             }
             ReadinessState::Ready if relayed.is_some_and(|since| since >= WITHDRAWAL_DELAY) => {
-                if self.members.withdraw() {
+                if self.members.try_mark_unready() {
                     self.readiness.state.set(ReadinessState::Withdrawn);
                     log::info!("event=offer_withdrawn cause=store_by_peers_only");
                 }
@@ -60,6 +60,6 @@
 
     fn advertise(&self) {
         self.readiness.state.set(ReadinessState::Ready);
-        self.members.announce(&self.settings.caller_address);
+        self.members.mark_ready(&self.settings.caller_address);
     }
 }
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -18,7 +18,7 @@
 use super::http::ConnectionPool;
 use super::members::MemberView;
 use super::metrics::GatewayMetrics;
-use super::quotas::{LeastMembers, LimiterQuota, QuotaKeeper, ShareQuota, SizeKeeper};
+use super::quotas::{MemberCounter, MinMembers, QuotaClient, QuotaEnforcer, ShareEnforcer};
 use super::readiness::AdvertisedReadiness;
 use super::server::serve_callers;
 use super::settings::{GatewayMechanism, GatewaySettings, QuotaMode};
@@ -172,20 +172,20 @@
     store: &Rc<StoreLink>,
     members: &Rc<MemberView>,
     feed: &Rc<ChangeFeed>,
-) -> Rc<dyn QuotaKeeper> {
-    let least = LeastMembers::default();
+) -> Rc<dyn QuotaEnforcer> {
+    let least = MinMembers::default();
     let instance = settings.instance.clone();
-    let size = SizeKeeper::new(instance.clone(), store.clone(), members.clone(), least.clone());
+    let size = MemberCounter::new(instance.clone(), store.clone(), members.clone(), least.clone());
     actix_rt::spawn(size.run());
     let bounds = settings.quota_bounds();
     if settings.quota_way == QuotaMode::Shares {
-        return Rc::new(ShareQuota::new(bounds, members.clone(), least));
+        return Rc::new(ShareEnforcer::new(bounds, members.clone(), least));
     }
     let by_program = settings.uses(GatewayMechanism::ProgramQuota);
     let limiter =
-        LimiterQuota::new(instance, bounds, by_program, members.clone(), feed.clone(), least);
+        QuotaClient::new(instance, bounds, by_program, members.clone(), feed.clone(), least);
     let limiter = Rc::new(limiter);
-    members.set_quotas(limiter.clone());
+    members.set_quota_listener(limiter.clone());
     actix_rt::spawn(limiter.clone().run());
     limiter
 }
@@ -201,7 +201,7 @@
             let changes = self.members.changes();
             if std::mem::replace(&mut seen_changes, changes) != changes || self.is_draining() {
                 self.turns.release_reassigned_allowances(|programs| {
-                    self.members.not_coordinated(programs)
+                    self.members.coordinated_elsewhere(programs)
                 });
             }
             self.fetch_newer_routes().await;
@@ -218,8 +218,8 @@
     /// read of the change feed may hang on a dead connection.
     async fn fetch_newer_routes(&self) {
         let version = self.feed.routes().map_or(0, |table| table.version);
-        self.members.set_head(version);
-        let (peer_version, since) = self.members.heard_head();
+        self.members.set_config_head(version);
+        let (peer_version, since) = self.members.peer_config_head();
         let timeout = if self.feed.is_following() { FEED_READER_TIMEOUT } else { Duration::ZERO };
         if peer_version > version && version > 0 && since.elapsed() >= timeout {
             self.feed.catch_up(peer_version).await;
