--- a/src/gateway/attempt/guard.rs
+++ b/src/gateway/attempt/guard.rs
@@ -1,4 +1,4 @@
-//! What an attempt under way tells of its upstream.
+//! Reports the start, first byte and result of an attempt to the upstream table and admission gate.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,55 +12,54 @@
 use crate::gateway::call::CallContext;
 use crate::gateway::{Gateway, GatewayMechanism};
 
-/// An attempt under way; it ends as abandoned unless something else is recorded.
+/// An attempt in progress. Reported on drop, as abandoned unless a result was recorded.
 pub(crate) struct AttemptGuard {
     gateway: Rc<Gateway>,
     upstream: UpstreamId,
-    begun: Instant,
+    started_at: Instant,
     service: ServiceName,
     objective: Duration,
-    /// Time the upstream was expected to read the prompt, in milliseconds; 0 without one.
+    /// Expected time to process the prompt; 0 without a prompt.
     prefill_ms: f64,
-    heard: Cell<bool>,
+    first_byte_received: Cell<bool>,
     result: Cell<AttemptResult>,
 }
 
 impl AttemptGuard {
     pub(super) fn new(gateway: &Rc<Gateway>, call: &CallContext, choice: &UpstreamChoice) -> Self {
-        let mut upstreams = gateway.news.upstreams.borrow_mut();
-        let begun = Instant::now();
-        upstreams.started(&choice.id, choice.prefill_ms, begun);
+        let mut upstreams = gateway.feed.upstreams.borrow_mut();
+        let started_at = Instant::now();
+        upstreams.started(&choice.id, choice.prefill_ms, started_at);
         if !gateway.settings.uses(GatewayMechanism::SilenceAvoidance) {
-            upstreams.record_first_byte(&choice.id, begun);
+            upstreams.record_first_byte(&choice.id, started_at);
         }
         Self {
             gateway: gateway.clone(),
             upstream: choice.id.clone(),
-            begun,
+            started_at,
             service: call.service.clone(),
             objective: call.route.objective,
             prefill_ms: choice.prefill_ms,
-            heard: Cell::new(false),
+            first_byte_received: Cell::new(false),
             result: Cell::new(AttemptResult::Abandoned),
         }
     }
 
-    /// Notes that the first bytes of the answer's body came.
-    pub(crate) fn heard(&self) {
-        self.gateway.news.upstreams.borrow_mut().record_first_byte(&self.upstream, self.begun);
-        if let Some(waited) = self.take_wait() {
+    pub(crate) fn record_first_byte(&self) {
+        self.gateway.feed.upstreams.borrow_mut().record_first_byte(&self.upstream, self.started_at);
+        if let Some(waited) = self.take_queue_wait() {
             let mut gate = self.gateway.gate.borrow_mut();
             gate.record_wait(&self.service, waited, self.objective, Instant::now());
         }
     }
 
-    /// How long a prompt has waited for its first word, in milliseconds; none without a prompt, or if
-    /// the word has come.
-    fn take_wait(&self) -> Option<f64> {
-        if self.heard.replace(true) || self.prefill_ms <= 0.0 {
+    /// Milliseconds that the request waited for its first byte beyond the expected prompt time. Taken
+    /// once per attempt; `None` without a prompt.
+    fn take_queue_wait(&self) -> Option<f64> {
+        if self.first_byte_received.replace(true) || self.prefill_ms <= 0.0 {
             return None;
         }
-        let waited = self.begun.elapsed().as_secs_f64() * 1e3 - self.prefill_ms;
+        let waited = self.started_at.elapsed().as_secs_f64() * 1e3 - self.prefill_ms;
         Some(waited.max(0.0))
     }
 
@@ -72,12 +71,12 @@
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
         if self.result.get() == AttemptResult::Abandoned
-            && let Some(waited) = self.take_wait()
+            && let Some(waited) = self.take_queue_wait()
         {
             let mut gate = self.gateway.gate.borrow_mut();
             gate.record_abandoned(&self.service, waited, Instant::now());
         }
-        let mut upstreams = self.gateway.news.upstreams.borrow_mut();
-        upstreams.ended(&self.upstream, self.begun, self.result.get(), Instant::now());
+        let mut upstreams = self.gateway.feed.upstreams.borrow_mut();
+        upstreams.ended(&self.upstream, self.started_at, self.result.get(), Instant::now());
     }
 }
--- a/src/gateway/call/access.rs
+++ b/src/gateway/call/access.rs
@@ -1,25 +1,24 @@
-//! Whether a request may be served: its route, and the workspace whose key it carries.
+//! Authorizes requests: finds the route and the workspace of the request's key.
 
 use std::rc::Rc;
 
 use actix_http::StatusCode;
 
-use super::prepare::NO_ROUTES_RETRY;
+use super::prepare::NO_ROUTES_RETRY_DELAY;
 use crate::core::routing::{RouteSpec, RouteTable};
 use crate::core::workspaces::{ApiKey, WorkspaceSpec};
 use crate::gateway::Gateway;
 use crate::gateway::http::CallerRequest;
 use crate::gateway::refusal::Refusal;
 
-/// What a configuration grants a request.
 pub(super) struct CallGrant {
     pub(super) table: Rc<RouteTable>,
     pub(super) route: Rc<RouteSpec>,
-    /// None where nobody has to show a key.
+    /// `None` if the request was granted without a valid key.
     pub(super) workspace: Option<Rc<WorkspaceSpec>>,
 }
 
-/// Why a configuration does not allow a request; a newer one may.
+/// Holds for one version of the configuration; a newer one may allow the request.
 #[derive(Debug, Clone, Copy)]
 enum CallDenial {
     NoSuchRoute,
@@ -38,45 +37,41 @@
 }
 
 impl Gateway {
-    /// Finds the route and the workspace of a request.
-    ///
-    /// What the configuration here does not allow is denied only if that is certainly the newest one:
-    /// an instance whose news are late would deny a route or a key that was added meanwhile, and its
-    /// caller would not try again.
+    /// Denies a request only by a configuration that is confirmed to be the newest: callers do not
+    /// retry a denial, and the route or key may have been added since the last update received here.
     pub(super) async fn authorize(
         &self,
         request: &CallerRequest,
         key: Option<&ApiKey>,
     ) -> Result<CallGrant, Refusal> {
-        let Some(table) = self.news.routes() else {
-            return Err(Refusal::not_run("no_routes_yet", NO_ROUTES_RETRY));
+        let Some(table) = self.feed.routes() else {
+            return Err(Refusal::not_run("no_routes_yet", NO_ROUTES_RETRY_DELAY));
         };
-        if !self.trusts_keys(&table).await {
-            return Err(Refusal::not_run("keys_uncertain", NO_ROUTES_RETRY));
+        if !self.has_current_keys(&table).await {
+            return Err(Refusal::not_run("keys_uncertain", NO_ROUTES_RETRY_DELAY));
         }
-        if let Ok(grant) = grant(&table, request, key) {
+        if let Ok(grant) = find_grant(&table, request, key) {
             return Ok(grant);
         }
-        let fresh = self.news.refresh_routes().await;
-        let table = self.news.routes().unwrap_or(table);
-        grant(&table, request, key).map_err(|denial| match fresh {
+        let is_current = self.feed.refresh_routes().await;
+        let table = self.feed.routes().unwrap_or(table);
+        find_grant(&table, request, key).map_err(|denial| match is_current {
             true => denial.refusal(),
-            false => Refusal::not_run("routes_uncertain", NO_ROUTES_RETRY),
+            false => Refusal::not_run("routes_uncertain", NO_ROUTES_RETRY_DELAY),
         })
     }
 
-    /// Whether the keys known here still count. Where the operator asks for it, an instance that has
-    /// not heard of the store for longer than a key may outlive its end serves nobody who needs one:
-    /// cut off, it would go on serving whoever was locked out.
-    async fn trusts_keys(&self, table: &RouteTable) -> bool {
-        let Some(limit) = self.settings.strict_key_age() else { return true };
+    /// With a strict key age, an instance that is cut off from the store for longer refuses requests
+    /// where keys are in use, as they may have been revoked.
+    async fn has_current_keys(&self, table: &RouteTable) -> bool {
+        let Some(max_age) = self.settings.strict_key_age() else { return true };
         table.workspaces().is_none()
-            || self.news.routes_age() <= limit
-            || self.news.refresh_routes().await
+            || self.feed.routes_age() <= max_age
+            || self.feed.refresh_routes().await
     }
 }
 
-fn grant(
+fn find_grant(
     table: &Rc<RouteTable>,
     request: &CallerRequest,
     key: Option<&ApiKey>,
--- a/src/gateway/call/turn.rs
+++ b/src/gateway/call/turn.rs
@@ -1,4 +1,4 @@
-//! What makes a call a turn of a program: its chain, its tokens, its record.
+//! Handles calls that are turns of a program: claims the turn, reads its chain and persists it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 };
 use crate::core::upstreams::UpstreamChoice;
 use crate::core::workspaces::qualified_name;
-use crate::gateway::attempt::{AttemptLog, chain_body};
+use crate::gateway::attempt::{AttemptProgress, chain_body};
 use crate::gateway::events::EventParser;
 use crate::gateway::refusal::Refusal;
 use crate::gateway::turns::{
@@ -24,30 +24,28 @@
 use crate::gateway::{Gateway, GatewayMechanism};
 use crate::node::platform::StoreError;
 
-/// When a caller may come back while the store is away. What lasts longer than a blip lasts for
-/// seconds: sooner, callers would have used up their tries before the store is back.
-const STORE_RETRY: Duration = Duration::from_secs(2);
-/// Part of the caller's time that a turn waits for a store that is away as a whole. Refused at once, a
-/// turn's tries would be used up early in an outage and its program lost; a caller that hears nothing for
-/// too long leaves.
-const OUTAGE_PATIENCE: f64 = 0.375;
-/// Time left to the caller after a reservation is given up.
-const RESERVE_MARGIN: Duration = Duration::from_millis(200);
+/// Store outages last for seconds; a shorter delay would exhaust the caller's retries before the
+/// recovery.
+const STORE_RETRY_DELAY: Duration = Duration::from_secs(2);
+/// Share of the call's timeout that a turn waits for an unavailable store. An immediate refusal would
+/// exhaust the caller's retries early in an outage; a longer wait would make the caller disconnect.
+const MAX_OUTAGE_WAIT_SHARE: f64 = 0.375;
+/// Leaves time to send a refusal before the caller's deadline.
+const CLAIM_TIMEOUT_MARGIN: Duration = Duration::from_millis(200);
 
-/// When a new program may come back that a coordinator turned away unasked.
-const NOT_ADMITTED_RETRY: Duration = Duration::from_millis(500);
+/// Fallback where a coordinator rejects a program that this instance admitted.
+const NOT_ADMITTED_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// The part of a call that belongs to a program's history.
-pub(super) struct TurnWork {
+pub(super) struct ActiveTurn {
     scope: TurnScope,
     previous: Option<TurnId>,
-    /// The program that made it, if it is another one.
+    /// The program that made the previous turn, if it is another one.
     origin: Option<ProgramName>,
     input: Bytes,
     pub(super) reservation: TurnReservation,
 }
 
-/// What the system calls a turn: its caller's names, kept apart by workspace.
+/// Names given by the caller, qualified by workspace.
 struct TurnNames {
     program: ProgramName,
     turn: TurnId,
@@ -55,50 +53,51 @@
 }
 
 impl TurnNames {
-    /// None if the call names no program.
+    /// `None` if the call names no program.
     fn of(call: &CallContext) -> Option<Self> {
         let workspace = call.workspace.as_ref().map(|workspace| &workspace.name);
-        let own = |name: &str| qualified_name(workspace, name);
+        let qualify = |name: &str| qualified_name(workspace, name);
         Some(Self {
-            program: own(call.head.program.as_deref()?),
-            turn: own(&call.id),
-            previous: call.head.previous.as_deref().map(own),
+            program: qualify(call.head.program.as_deref()?),
+            turn: qualify(&call.id),
+            previous: call.head.previous.as_deref().map(qualify),
         })
     }
 
-    fn longest(&self) -> usize {
+    fn max_len(&self) -> usize {
         let previous = self.previous.as_ref().map_or(0, |previous| previous.len());
         self.program.len().max(self.turn.len()).max(previous)
     }
 }
 
 impl Gateway {
-    /// Reads the chain, sets the turn's tokens aside, and puts the chain before the call's input.
+    /// Reserves the turn's tokens and puts its chain before the call's input.
     pub(super) async fn prepare_turn(
         self: &Rc<Self>,
         call: &mut CallContext,
         scope: TurnScope,
-        log: &AttemptLog,
-    ) -> Result<TurnWork, Refusal> {
-        let bad = |reason| Refusal::rejected(StatusCode::BAD_REQUEST, reason);
-        let names = TurnNames::of(call).ok_or_else(|| bad("no_program"))?;
-        if names.longest() > MAX_NAME_BYTES {
-            return Err(bad("name_too_long"));
+        progress: &AttemptProgress,
+    ) -> Result<ActiveTurn, Refusal> {
+        let bad_request = |reason| Refusal::rejected(StatusCode::BAD_REQUEST, reason);
+        let names = TurnNames::of(call).ok_or_else(|| bad_request("no_program"))?;
+        if names.max_len() > MAX_NAME_BYTES {
+            return Err(bad_request("name_too_long"));
         }
         let reply = match scope {
             TurnScope::History if names.previous.is_some() => AdmissionReply::Admitted,
             TurnScope::History | TurnScope::Tokens => self.admit(call, &names.program),
         };
-        let is_shut = reply != AdmissionReply::Admitted;
-        if is_shut && scope == TurnScope::History {
-            return Err(turned_away(call, &names.program, reply));
+        let is_rejected = reply != AdmissionReply::Admitted;
+        if is_rejected && scope == TurnScope::History {
+            return Err(admission_refusal(call, &names.program, reply));
         }
-        // Only the coordinator knows whether a turn without a history is its program's first.
-        let claim = self.turn_claim(call, &names, scope, is_shut);
-        let claimed = self.claim_turn(call, claim, log).await.map_err(|error| match error {
-            ClaimError::NotAdmitted => turned_away(call, &names.program, reply),
-            error => self.claim_refusal(call, &names.program, error),
-        })?;
+        // Without a history only the coordinator knows whether a turn is its program's first.
+        let claim = self.turn_claim(call, &names, scope, is_rejected);
+        let claimed =
+            self.claim_turn(call, claim, progress).await.map_err(|error| match error {
+                ClaimError::NotAdmitted => admission_refusal(call, &names.program, reply),
+                error => self.claim_refusal(call, &names.program, error),
+            })?;
         let ClaimedTurn { chain, holder, reservation } = claimed;
         let input = call.body.clone();
         match scope {
@@ -107,17 +106,17 @@
                 call.body = chain_body(&chain.turns, &input);
             }
             TurnScope::Tokens => {
-                let upstreams = self.news.upstreams.borrow();
+                let upstreams = self.feed.upstreams.borrow();
                 let holder =
                     holder.filter(|held| upstreams.has_incarnation(&held.upstream, held.born));
                 call.holder = holder.map(|held| held.upstream);
             }
         }
         let previous = names.previous;
-        Ok(TurnWork { scope, previous, origin: chain.origin, input, reservation })
+        Ok(ActiveTurn { scope, previous, origin: chain.origin, input, reservation })
     }
 
-    /// Whether a program's first turn is let in: not while engines have far more than they can do.
+    /// Rejects first turns of programs while engines are overloaded.
     fn admit(&self, call: &CallContext, program: &ProgramName) -> AdmissionReply {
         if !self.settings.uses(GatewayMechanism::AdmissionGate) {
             return AdmissionReply::Admitted;
@@ -131,11 +130,11 @@
         self.gate.borrow_mut().admit(&request)
     }
 
-    /// The engine that holds the chain, unless it has started anew since.
+    /// `None` if the engine that ran the last turn has restarted since, which empties its cache.
     fn chain_holder(&self, chain: &TurnChain) -> Option<UpstreamId> {
         let last = chain.turns.last()?;
         let is_current =
-            self.news.upstreams.borrow().has_incarnation(&last.upstream, last.started_at);
+            self.feed.upstreams.borrow().has_incarnation(&last.upstream, last.started_at);
         is_current.then(|| last.upstream.clone())
     }
 
@@ -153,70 +152,69 @@
             previous: names.previous.clone(),
             most: call.head.max_output.unwrap_or(0),
             budget: call.head.token_budget.unwrap_or(Tokens::MAX),
-            // It is kept from its end on, which is not written apart.
+            // Retention counts from the end of the turn, which is at the latest its deadline.
             retention: retention + call.deadline.saturating_duration_since(Instant::now()),
             scope,
-            line: call.head.line.clone(),
+            line: call.head.branch.clone(),
             only_known,
         }
     }
 
     fn coordinator(&self, program: &ProgramName) -> TurnCoordinator {
         if !self.settings.uses(GatewayMechanism::Coordinators) {
-            return TurnCoordinator::Nobody;
+            return TurnCoordinator::Unassigned;
         }
-        self.members.coordinator(program).map_or(TurnCoordinator::Here, TurnCoordinator::Peer)
+        self.members.coordinator(program).map_or(TurnCoordinator::Local, TurnCoordinator::Peer)
     }
 
-    /// Claims the turn at the instance that coordinates its program, or here.
     async fn claim_turn(
         &self,
         call: &CallContext,
         claim: TurnClaim,
-        log: &AttemptLog,
+        progress: &AttemptProgress,
     ) -> Result<ClaimedTurn, ClaimError> {
-        let limit = call.deadline - RESERVE_MARGIN.min(call.route.timeout);
+        let claim_deadline = call.deadline - CLAIM_TIMEOUT_MARGIN.min(call.route.timeout);
         let coordinator = self.coordinator(&claim.program);
         if let TurnCoordinator::Peer(peer) = &coordinator {
-            log.coordinator.replace(Some(peer.clone()));
+            progress.coordinator.replace(Some(peer.clone()));
         }
-        let claimed = self.claim_through_outage(call, coordinator, claim, limit).await;
-        log.claimed_after.set(Some(call.arrived.elapsed()));
-        self.metrics.reserved(match &claimed {
+        let claimed = self.claim_with_outage_wait(call, coordinator, claim, claim_deadline).await;
+        progress.claimed_after.set(Some(call.arrived.elapsed()));
+        self.metrics.record_reservation(match &claimed {
             Ok(_) => "reserved",
             Err(ClaimError::Exhausted { .. }) => "exhausted",
             Err(ClaimError::NoSuchTurn) => "no_such_turn",
             Err(ClaimError::NotAdmitted) => "not_admitted",
-            Err(ClaimError::Store(_) | ClaimError::Doubtful(_)) => "store_failed",
+            Err(ClaimError::Store(_) | ClaimError::Indeterminate(_)) => "store_failed",
         });
         claimed
     }
 
-    /// Claims a turn; if the whole store is away, as soon as it is back, for as long as the caller has
-    /// patience.
-    async fn claim_through_outage(
+    /// During an outage of the store, retries after its recovery until the outage deadline.
+    async fn claim_with_outage_wait(
         &self,
         call: &CallContext,
         coordinator: TurnCoordinator,
         claim: TurnClaim,
-        limit: Instant,
+        claim_deadline: Instant,
     ) -> Result<ClaimedTurn, ClaimError> {
         if !self.settings.uses(GatewayMechanism::OutageWait) {
-            return self.turns.claim(coordinator, claim, limit).await;
+            return self.turns.claim(coordinator, claim, claim_deadline).await;
         }
-        let time = call.deadline.saturating_duration_since(call.arrived);
-        let patience = call.arrived + time.mul_f64(OUTAGE_PATIENCE);
+        let timeout = call.deadline.saturating_duration_since(call.arrived);
+        let outage_deadline = call.arrived + timeout.mul_f64(MAX_OUTAGE_WAIT_SHARE);
         loop {
             if self.store.outage().is_some()
-                && timeout_at(patience, self.store.reachable()).await.is_err()
+                && timeout_at(outage_deadline, self.store.reachable()).await.is_err()
             {
                 return Err(ClaimError::Store(StoreError::Unavailable));
             }
-            let claimed = self.turns.claim(coordinator.clone(), claim.clone(), limit).await;
-            let away = matches!(claimed, Err(ClaimError::Store(_)))
+            let claimed =
+                self.turns.claim(coordinator.clone(), claim.clone(), claim_deadline).await;
+            let should_retry = matches!(claimed, Err(ClaimError::Store(_)))
                 && self.store.outage().is_some()
-                && Instant::now() < patience;
-            if !away {
+                && Instant::now() < outage_deadline;
+            if !should_retry {
                 return claimed;
             }
         }
@@ -239,24 +237,27 @@
                 );
                 Refusal::rejected(StatusCode::PAYMENT_REQUIRED, "budget_exhausted")
             }
-            ClaimError::NotAdmitted => Refusal::not_run("engines_overloaded", NOT_ADMITTED_RETRY),
+            ClaimError::NotAdmitted => {
+                Refusal::not_run("engines_overloaded", NOT_ADMITTED_RETRY_DELAY)
+            }
             ClaimError::NoSuchTurn => Refusal::rejected(StatusCode::NOT_FOUND, "no_such_turn"),
-            ClaimError::Store(error) | ClaimError::Doubtful(error) => self.store_refusal(&error),
+            ClaimError::Store(error) | ClaimError::Indeterminate(error) => {
+                self.store_refusal(&error)
+            }
         }
     }
 
-    /// Nothing was sent to an upstream, so the caller may come back.
+    /// The call has not been sent to an upstream, so the caller may retry.
     fn store_refusal(&self, error: &StoreError) -> Refusal {
         let outage = self.store.outage().unwrap_or_default();
         log::debug!("event=store_refusal error=\"{error}\" outage_ms={}", outage.as_millis());
-        Refusal::not_run("store_unavailable", STORE_RETRY)
+        Refusal::not_run("store_unavailable", STORE_RETRY_DELAY)
     }
 }
 
-/// The refusal of a program's first turn.
-fn turned_away(call: &CallContext, program: &ProgramName, reply: AdmissionReply) -> Refusal {
+fn admission_refusal(call: &CallContext, program: &ProgramName, reply: AdmissionReply) -> Refusal {
     let AdmissionReply::Rejected { retry_after, admitted_fraction: share, excess } = reply else {
-        return Refusal::not_run("engines_overloaded", NOT_ADMITTED_RETRY);
+        return Refusal::not_run("engines_overloaded", NOT_ADMITTED_RETRY_DELAY);
     };
     log::info!(
         "event=turn_turned_away request={} program={program} service={} priority={} \
@@ -270,30 +271,30 @@
     Refusal::not_run("engines_overloaded", retry_after)
 }
 
-impl TurnWork {
-    /// Notes which engine holds what the next turn of the line begins with.
-    pub(super) fn note_holder(&mut self, line: Option<&BranchName>, choice: &UpstreamChoice) {
-        self.reservation.note_holder(PrefixHolder {
+impl ActiveTurn {
+    /// Records the engine that holds the prompt prefix of the branch's next turn.
+    pub(super) fn record_holder(&mut self, line: Option<&BranchName>, choice: &UpstreamChoice) {
+        self.reservation.record_holder(PrefixHolder {
             line: line.cloned(),
             upstream: choice.id.clone(),
             born: choice.started_at,
         });
     }
 
-    /// Whether the turn's end waits until its record is durable.
-    pub(super) fn is_kept(&self) -> bool {
+    /// The response ends only after the record of such a turn is durable.
+    pub(super) fn is_persisted(&self) -> bool {
         self.scope == TurnScope::History
     }
 
-    /// Makes a turn durable that has ended whole; false if that failed.
-    pub(super) async fn keep(
+    /// Returns false if the record may not be durable.
+    pub(super) async fn persist(
         self,
         choice: &UpstreamChoice,
         events: EventParser,
-        limit: Instant,
+        deadline: Instant,
     ) -> bool {
         let record = self.record(choice, events);
-        self.reservation.complete(record, limit).await
+        self.reservation.complete(record, deadline).await
     }
 
     fn record(&self, choice: &UpstreamChoice, events: EventParser) -> TurnRecord {
--- a/src/gateway/sweep.rs
+++ b/src/gateway/sweep.rs
@@ -1,4 +1,4 @@
-//! Deletes programs whose turns nobody may go on from any more, one instance at a time.
+//! Deletes expired programs from the store, from one instance at a time.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -7,62 +7,59 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
 
-use super::news::StoreNews;
+use super::feed::ChangeFeed;
 use super::rows::{CommitReply, RowKey, RowRange, RowTransaction, RowVersion, StoredRow};
 use super::store::StoreLink;
-use super::turns::{LEDGER_KEY, TABLE, index_key, parse_turn_key, row_key};
+use super::turns::{LEDGER_KEY, PROGRAMS_TABLE, index_key, parse_turn_key, row_key};
 use crate::core::ids::InstanceId;
 use crate::core::turns::{DEFAULT_RETENTION, ProgramLedger, ProgramName};
 use crate::node::platform::StoreError;
 
-/// Table of duties that one instance at a time performs.
-const DUTIES_TABLE: &str = "duties";
+/// Leases of jobs that one instance at a time performs.
+const LEASES_TABLE: &str = "duties";
 const SWEEP_KEY: &str = "sweep";
-/// Shortest pause between two sweeps, and until routes are known.
-const MIN_PACE: Duration = Duration::from_secs(1);
-/// A sweep is due this often in the time that turns are kept: what has expired stays half as long
-/// again at most.
+/// Also the delay until routes are known.
+const MIN_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Bounds the time that an expired program stays in the store.
 const SWEEPS_PER_RETENTION: u32 = 2;
-/// Kept beyond the time due: clocks of instances that were paused run behind the store's.
-const MARGIN_SHARE: u32 = 2;
-/// Pause between two programs that are looked at: a sweep takes at most 20 calls a second.
-const PROGRAM_PAUSE: Duration = Duration::from_millis(50);
-/// Rows removed in one transaction; each turn has an index row on top.
-const REMOVE_CHUNK: usize = 40;
+/// The margin covers instances that were paused, whose clocks run behind the store's.
+const EXPIRY_MARGIN_DIVISOR: u32 = 2;
+/// Limits the rate of store calls during a sweep.
+const PROGRAM_DELAY: Duration = Duration::from_millis(50);
+/// Excludes the index rows that are removed in the same transaction.
+const MAX_REMOVED_ROWS: usize = 40;
 
-/// Who sweeps, until when by the store's clock.
 #[derive(Debug, Serialize, Deserialize)]
 struct SweepLease {
     holder: InstanceId,
+    /// By the store's clock.
     until_ms: u64,
 }
 
-/// The sweeping task of one instance.
 pub(crate) struct ProgramSweeper {
     instance: InstanceId,
     store: Rc<StoreLink>,
-    news: Rc<StoreNews>,
+    feed: Rc<ChangeFeed>,
 }
 
 impl ProgramSweeper {
-    pub(crate) fn new(instance: InstanceId, store: Rc<StoreLink>, news: Rc<StoreNews>) -> Self {
-        Self { instance, store, news }
+    pub(crate) fn new(instance: InstanceId, store: Rc<StoreLink>, feed: Rc<ChangeFeed>) -> Self {
+        Self { instance, store, feed }
     }
 
-    /// Sweeps whenever it is due and this instance holds the lease.
     pub(crate) async fn run(self) {
-        // When known programs expire, so that those are not read again before.
-        let mut known: BTreeMap<ProgramName, u64> = BTreeMap::new();
+        // Programs are not read again before they expire.
+        let mut expiries: BTreeMap<ProgramName, u64> = BTreeMap::new();
         loop {
-            let Some(table) = self.news.routes() else {
-                sleep(MIN_PACE).await;
+            let Some(table) = self.feed.routes() else {
+                sleep(MIN_SWEEP_INTERVAL).await;
                 continue;
             };
             let retention = table.retention().unwrap_or(DEFAULT_RETENTION);
-            let pace = (retention / SWEEPS_PER_RETENTION).max(MIN_PACE);
-            sleep(pace).await;
-            let margin = retention / MARGIN_SHARE;
-            match self.sweep(&mut known, pace, margin).await {
+            let interval = (retention / SWEEPS_PER_RETENTION).max(MIN_SWEEP_INTERVAL);
+            sleep(interval).await;
+            let margin = retention / EXPIRY_MARGIN_DIVISOR;
+            match self.sweep(&mut expiries, interval, margin).await {
                 Ok(Some(removed)) if removed > 0 => log::info!("event=swept removed={removed}"),
                 Ok(_) => {}
                 Err(error) => log::info!("event=sweep_failed error=\"{error}\""),
@@ -70,57 +67,58 @@
         }
     }
 
-    /// One sweep; none if another instance holds the lease.
+    /// Returns the number of removed programs, or `None` if another instance holds the lease.
     async fn sweep(
         &self,
-        known: &mut BTreeMap<ProgramName, u64>,
-        pace: Duration,
+        expiries: &mut BTreeMap<ProgramName, u64>,
+        interval: Duration,
         margin: Duration,
     ) -> Result<Option<usize>, StoreError> {
-        if !self.take_lease(pace).await? {
-            known.clear();
+        if !self.acquire_lease(interval).await? {
+            expiries.clear();
             return Ok(None);
         }
         let programs = self.programs().await?;
-        known.retain(|program, _| programs.contains(program));
+        expiries.retain(|program, _| programs.contains(program));
         let mut removed = 0;
         for program in programs {
             let now = self.store.now_millis();
-            let due = known.get(&program).map(|until| until + margin.as_millis() as u64);
+            let due = expiries.get(&program).map(|expiry| expiry + margin.as_millis() as u64);
             if due.is_some_and(|due| now < due) {
                 continue;
             }
-            sleep(PROGRAM_PAUSE).await;
-            let Some((version, until)) = self.expiry(&program).await? else { continue };
-            known.insert(program.clone(), until);
-            if now >= until + margin.as_millis() as u64 && self.remove(&program, version).await? {
-                known.remove(&program);
+            sleep(PROGRAM_DELAY).await;
+            let Some((version, expiry)) = self.expiry(&program).await? else { continue };
+            expiries.insert(program.clone(), expiry);
+            if now >= expiry + margin.as_millis() as u64 && self.remove(&program, version).await? {
+                expiries.remove(&program);
                 removed += 1;
             }
         }
         Ok(Some(removed))
     }
 
-    /// Takes or renews the lease. Two holders at once would do no harm: every removal is
-    /// conditional on the ledger that was read.
-    async fn take_lease(&self, pace: Duration) -> Result<bool, StoreError> {
+    /// Acquires or renews the lease. Two holders at once do no harm: every removal is conditional on
+    /// the ledger that was read.
+    async fn acquire_lease(&self, interval: Duration) -> Result<bool, StoreError> {
         let key =
-            RowKey { table: DUTIES_TABLE.into(), part: Box::default(), key: SWEEP_KEY.into() };
+            RowKey { table: LEASES_TABLE.into(), partition: Box::default(), key: SWEEP_KEY.into() };
         let range = RowRange {
             table: key.table.clone(),
-            part: Box::default(),
+            partition: Box::default(),
             from: Some(key.key.clone()),
             limit: Some(1),
         };
         let row = self.store.range(&range).await?.rows.into_iter().find(|row| row.key == key);
         let version = row.as_ref().map_or(0, |row| row.version);
         let now_ms = self.store.now_millis();
-        let held = row.and_then(|row| row.value);
-        let held: Option<SweepLease> = held.and_then(|value| serde_json::from_slice(&value).ok());
-        if held.is_some_and(|lease| lease.holder != self.instance && now_ms < lease.until_ms) {
+        let current = row.and_then(|row| row.value);
+        let current: Option<SweepLease> =
+            current.and_then(|value| serde_json::from_slice(&value).ok());
+        if current.is_some_and(|lease| lease.holder != self.instance && now_ms < lease.until_ms) {
             return Ok(false);
         }
-        let until_ms = now_ms + 3 * pace.as_millis() as u64;
+        let until_ms = now_ms + 3 * interval.as_millis() as u64;
         let lease = SweepLease { holder: self.instance.clone(), until_ms };
         let value = serde_json::to_vec(&lease).expect("leases serialize").into();
         let transaction = RowTransaction {
@@ -134,7 +132,8 @@
     async fn programs(&self) -> Result<Vec<ProgramName>, StoreError> {
         let mut programs: Vec<ProgramName> = Vec::new();
         loop {
-            let page = self.store.parts(TABLE, programs.last().map(|last| &**last)).await?;
+            let page =
+                self.store.partitions(PROGRAMS_TABLE, programs.last().map(|last| &**last)).await?;
             let Some(last) = page.last().cloned() else { return Ok(programs) };
             if programs.last() == Some(&last) {
                 return Ok(programs);
@@ -143,11 +142,11 @@
         }
     }
 
-    /// Version of a program's ledger and when it expires, in milliseconds of the store's clock.
+    /// Version of a program's ledger, and its expiry in milliseconds of the store's clock.
     async fn expiry(&self, program: &ProgramName) -> Result<Option<(RowVersion, u64)>, StoreError> {
         let range = RowRange {
-            table: TABLE.into(),
-            part: program.clone(),
+            table: PROGRAMS_TABLE.into(),
+            partition: program.clone(),
             from: Some(LEDGER_KEY.into()),
             limit: Some(1),
         };
@@ -160,17 +159,17 @@
         Ok(ledger.map(|ledger| (version, ledger.retained_until())))
     }
 
-    /// Removes a program's turns, then its ledger; false if it came to life meanwhile.
+    /// Removes a program's turns, then its ledger; false if the program was used meanwhile.
     ///
-    /// The ledger goes last, so that whoever stops on the way leaves something to find the rest by.
+    /// The ledger is removed last, so that the next sweep finds the program after an interruption.
     async fn remove(&self, program: &ProgramName, version: RowVersion) -> Result<bool, StoreError> {
         let ledger = row_key(program, LEDGER_KEY);
         loop {
             let range = RowRange {
-                table: TABLE.into(),
-                part: program.clone(),
+                table: PROGRAMS_TABLE.into(),
+                partition: program.clone(),
                 from: None,
-                limit: Some(REMOVE_CHUNK),
+                limit: Some(MAX_REMOVED_ROWS),
             };
             let rows = self.store.range(&range).await?.rows;
             let mut removals: Vec<RowKey> = Vec::new();
@@ -186,9 +185,10 @@
             }
             let checks = vec![(ledger.clone(), version)];
             let transaction = RowTransaction { checks, puts: Vec::new(), removals };
-            let parts = transaction.by_part();
-            let whole = [transaction];
-            let steps = if self.store.takes_across() { &whole[..] } else { &parts[..] };
+            let partitions = transaction.by_partition();
+            let single = [transaction];
+            let steps =
+                if self.store.supports_cross_partition() { &single[..] } else { &partitions[..] };
             for step in steps {
                 if !matches!(self.store.commit(step).await?, CommitReply::Committed(_)) {
                     return Ok(false);
--- a/src/gateway/turns/allowances.rs
+++ b/src/gateway/turns/allowances.rs
@@ -1,4 +1,4 @@
-//! Tokens of programs whose history is not kept: set aside for several turns by one write.
+//! Token allowances: one write reserves tokens for several turns of a program without history.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -7,77 +7,75 @@
 use futures_util::future::join_all;
 use tokio::time::Instant;
 
-use super::claim::{CLAIM_TRIES, ClaimError, ClaimSource, ClaimedTurn, TurnClaim};
-use super::{BACKGROUND_LIMIT, ReserveError, TurnChain, TurnEnd, TurnKeeper, TurnReservation};
+use super::claim::{ClaimError, ClaimSource, ClaimedTurn, MAX_CLAIM_ATTEMPTS, TurnClaim};
+use super::{
+    BACKGROUND_SETTLE_TIMEOUT, ReserveError, TurnChain, TurnEnd, TurnManager, TurnReservation,
+};
 use crate::core::turns::{
     PREALLOCATED_TURNS, PrefixHolders, ProgramLedger, ProgramName, ReserveReply, TokenAllowance,
     TurnScope,
 };
 
-/// Unused for so long, an allowance may be given back: its program has ended or pauses.
-const IDLE: Duration = Duration::from_secs(30);
-/// Allowances that were used so lately are given back when another instance coordinates their programs.
-const IN_USE: Duration = Duration::from_secs(5);
-/// Allowances below which idle ones are not looked for.
-const PRUNE_LEAST: usize = 1_024;
+const ALLOWANCE_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Allowances used within this interval are released when their program's coordinator changes.
+const RECENT_USE_INTERVAL: Duration = Duration::from_secs(5);
+const MIN_PRUNE_COUNT: usize = 1_024;
 
-/// An allowance that this instance holds.
 struct HeldAllowance {
     allowance: TokenAllowance,
     used_at: Instant,
-    /// Where the last turn of each line of the program ran.
-    lines: PrefixHolders,
-    /// Whether it holds no tokens ahead, as another instance coordinates the program.
-    stands_in: bool,
+    holders: PrefixHolders,
+    /// Another instance coordinates the program, so this one preallocates no tokens.
+    is_proxy: bool,
 }
 
-/// The allowances that this instance holds, by program.
 pub(super) struct ProgramAllowances {
     held: HashMap<ProgramName, HeldAllowance>,
-    /// Tells this life of the instance from all others.
-    life: u64,
-    made: u64,
-    /// How many there may be before idle ones are given back.
+    /// Random, so that names of allowances are unique over restarts.
+    incarnation: u64,
+    allocated: u64,
     prune_at: usize,
 }
 
 impl Default for ProgramAllowances {
     fn default() -> Self {
-        Self { held: HashMap::new(), life: rand::random(), made: 0, prune_at: PRUNE_LEAST }
+        Self {
+            held: HashMap::new(),
+            incarnation: rand::random(),
+            allocated: 0,
+            prune_at: MIN_PRUNE_COUNT,
+        }
     }
 }
 
 impl ProgramAllowances {
-    fn get_or_make(&mut self, program: &ProgramName, stands_in: bool) -> &mut HeldAllowance {
-        let (life, made) = (self.life, &mut self.made);
+    fn get_or_create(&mut self, program: &ProgramName, is_proxy: bool) -> &mut HeldAllowance {
+        let (life, made) = (self.incarnation, &mut self.allocated);
         self.held.entry(program.clone()).or_insert_with(|| {
             *made += 1;
             let name = format!("{life:016x}-{made}").into();
             let allowance = TokenAllowance::new(name);
-            let lines = PrefixHolders::default();
-            HeldAllowance { allowance, used_at: Instant::now(), lines, stands_in }
+            let holders = PrefixHolders::default();
+            HeldAllowance { allowance, used_at: Instant::now(), holders, is_proxy }
         })
     }
 
-    /// Drops what is held for a program whose ledger is gone.
-    pub(super) fn forget(&mut self, program: &str) {
+    pub(super) fn remove(&mut self, program: &str) {
         self.held.remove(program);
     }
 
-    /// Takes out allowances without a running turn.
     fn take_idle(
         &mut self,
-        wanted: impl Fn(&HeldAllowance) -> bool,
+        filter: impl Fn(&HeldAllowance) -> bool,
     ) -> Vec<(ProgramName, TokenAllowance)> {
-        let taken = self.held.extract_if(|_, held| held.allowance.is_idle() && wanted(held));
+        let taken = self.held.extract_if(|_, held| held.allowance.is_idle() && filter(held));
         taken.map(|(program, held)| (program, held.allowance)).collect()
     }
 }
 
 impl TurnClaim {
-    /// How long its program's ledger is to be kept. A ledger that several turns share is not written at
-    /// each, so it is kept longer.
-    pub(super) fn kept_for(&self) -> Duration {
+    /// Longer if turns share an allowance, since the ledger is then not written at each turn.
+    pub(super) fn ledger_retention(&self) -> Duration {
         match self.scope {
             TurnScope::History => self.retention,
             TurnScope::Tokens => self.retention + self.retention / 2,
@@ -85,48 +83,48 @@
     }
 }
 
-impl TurnKeeper {
-    /// Claims a turn whose history is not kept: out of the program's allowance here, or by a write that
+impl TurnManager {
+    /// Claims a turn whose history is not stored: from the program's allowance, or by a write that
     /// extends it.
     pub(super) async fn claim_tokens(
         self: &Rc<Self>,
         claim: &TurnClaim,
-        limit: Instant,
+        deadline: Instant,
         source: ClaimSource,
     ) -> Result<ClaimedTurn, ClaimError> {
-        let coordinates = matches!(source, ClaimSource::Own | ClaimSource::Peer);
-        if claim.only_known && coordinates && !self.cache.borrow().has_ledger(&claim.program) {
+        let is_coordinator = matches!(source, ClaimSource::Coordinator | ClaimSource::Peer);
+        if claim.only_known && is_coordinator && !self.cache.borrow().has_ledger(&claim.program) {
             return Err(ClaimError::NotAdmitted);
         }
         self.prune_allowances();
-        let mut held = self.reservation(&claim.program, &claim.turn);
-        held.scope = TurnScope::Tokens;
-        if self.draw(claim) {
-            return Ok(self.claimed(claim, held));
+        let mut reservation = self.reservation(&claim.program, &claim.turn);
+        reservation.scope = TurnScope::Tokens;
+        if self.draw_from_allowance(claim) {
+            return Ok(self.claimed_turn(claim, reservation));
         }
-        for _ in 0..CLAIM_TRIES {
-            match self.reserve(claim, limit, source, &mut held).await {
-                Ok(()) => return Ok(self.claimed(claim, held)),
+        for _ in 0..MAX_CLAIM_ATTEMPTS {
+            match self.reserve(claim, deadline, source, &mut reservation).await {
+                Ok(()) => return Ok(self.claimed_turn(claim, reservation)),
                 Err(ReserveError::Expired) => {}
                 Err(ReserveError::Exhausted { committed }) => {
                     return Err(ClaimError::Exhausted { committed });
                 }
-                // An extension that takes effect unseen belongs to no turn, so nothing is in doubt.
+                // Never indeterminate: an extension that is committed late belongs to no turn.
                 Err(ReserveError::Store(error)) => return Err(ClaimError::Store(error)),
             }
         }
         Err(ClaimError::NoSuchTurn)
     }
 
-    fn claimed(&self, claim: &TurnClaim, reservation: TurnReservation) -> ClaimedTurn {
+    fn claimed_turn(&self, claim: &TurnClaim, reservation: TurnReservation) -> ClaimedTurn {
         let allowances = self.allowances.borrow();
         let held = allowances.held.get(&claim.program);
-        let holder = held.and_then(|held| held.lines.holder(claim.line.as_ref()).cloned());
+        let holder = held.and_then(|held| held.holders.holder(claim.line.as_ref()).cloned());
         ClaimedTurn { chain: TurnChain::default(), holder, reservation }
     }
 
-    /// Takes a turn's tokens out of what the ledger holds already; false if that takes a write.
-    fn draw(&self, claim: &TurnClaim) -> bool {
+    /// Starts a turn from tokens that the ledger reserves already; false if a write is needed.
+    fn draw_from_allowance(&self, claim: &TurnClaim) -> bool {
         if self.pending.borrow().contains_key(&claim.program) {
             return false;
         }
@@ -134,8 +132,8 @@
         let Some(held) = allowances.held.get_mut(&claim.program) else { return false };
         let Some((_, ledger)) = self.cache.borrow().ledger(&claim.program) else { return false };
         let demand = held.allowance.demand(&claim.turn, claim.most);
-        let lasts = ledger.retained_until() >= self.kept_until(claim.retention);
-        if !lasts || ledger.reserved(held.allowance.name()) < demand.min_tokens {
+        let is_retained = ledger.retained_until() >= self.retained_until(claim.retention);
+        if !is_retained || ledger.reserved(held.allowance.name()) < demand.min_tokens {
             return false;
         }
         held.allowance.start(&claim.turn, claim.most);
@@ -144,18 +142,17 @@
         true
     }
 
-    /// Makes the program's allowance in a ledger hold a turn's tokens.
     pub(super) fn extend_allowance(
         &self,
         ledger: &mut ProgramLedger,
         claim: &TurnClaim,
-        is_ahead: bool,
+        preallocates: bool,
     ) -> ReserveReply {
         let mut allowances = self.allowances.borrow_mut();
-        let held = allowances.get_or_make(&claim.program, !is_ahead);
-        let is_ahead = is_ahead && !held.stands_in;
+        let held = allowances.get_or_create(&claim.program, !preallocates);
+        let preallocates = preallocates && !held.is_proxy;
         let demand = held.allowance.demand(&claim.turn, claim.most);
-        let ahead = if is_ahead { claim.most.saturating_mul(PREALLOCATED_TURNS) } else { 0 };
+        let ahead = if preallocates { claim.most.saturating_mul(PREALLOCATED_TURNS) } else { 0 };
         let reply = ledger.extend(held.allowance.name(), demand, ahead, claim.budget);
         if reply == ReserveReply::Reserved {
             held.allowance.start(&claim.turn, claim.most);
@@ -164,8 +161,8 @@
         reply
     }
 
-    /// Takes a turn out of an allowance whose extension was not written.
-    pub(super) fn take_back(&self, claim: &TurnClaim) {
+    /// Reverts the start of a turn after the write of the extension failed.
+    pub(super) fn undo_allowance_start(&self, claim: &TurnClaim) {
         if claim.scope == TurnScope::Tokens
             && let Some(held) = self.allowances.borrow_mut().held.get_mut(&claim.program)
         {
@@ -173,68 +170,71 @@
         }
     }
 
-    /// Notes what a turn has used of the allowance that is held here.
     pub(super) fn end_turn(self: &Rc<Self>, end: &TurnEnd) {
         let TurnEnd { program, turn, used, ran_at, .. } = end;
         let mut allowances = self.allowances.borrow_mut();
         let Some(held) = allowances.held.get_mut(program) else { return };
         held.allowance.end(turn, *used);
-        if let Some(line) = ran_at {
-            held.lines.record(line.clone());
+        if let Some(holder) = ran_at {
+            held.holders.record(holder.clone());
         }
-        // The coordinator needs what is left here.
-        if held.stands_in && held.allowance.is_idle() {
+        // The unused tokens are needed at the coordinator.
+        if held.is_proxy && held.allowance.is_idle() {
             let allowance = held.allowance.clone();
-            allowances.forget(program);
-            let returned = self.clone().give_back(program.clone(), allowance);
-            actix_rt::spawn(returned);
+            allowances.remove(program);
+            let released = self.clone().release_allowance(program.clone(), allowance);
+            actix_rt::spawn(released);
         }
     }
 
-    /// Gives back allowances that have been idle for long, when there are many.
     fn prune_allowances(self: &Rc<Self>) {
         let mut allowances = self.allowances.borrow_mut();
         if allowances.held.len() < allowances.prune_at {
             return;
         }
-        let idle = allowances.take_idle(|held| held.used_at.elapsed() > IDLE);
-        allowances.prune_at = PRUNE_LEAST.max(allowances.held.len() * 2);
+        let idle = allowances.take_idle(|held| held.used_at.elapsed() > ALLOWANCE_IDLE_TIMEOUT);
+        allowances.prune_at = MIN_PRUNE_COUNT.max(allowances.held.len() * 2);
         log::info!("event=allowances_pruned idle={} left={}", idle.len(), allowances.held.len());
         for (program, allowance) in idle {
-            actix_rt::spawn(self.clone().give_back(program, allowance));
+            actix_rt::spawn(self.clone().release_allowance(program, allowance));
         }
     }
 
-    /// Leaves to others the programs in use that they coordinate now: what is held of them is given
-    /// back, at once or when their turns here have ended.
-    pub(crate) fn hand_over(
+    /// Releases allowances of programs that another instance coordinates now, at once or when their
+    /// running turns have ended.
+    pub(crate) fn release_reassigned_allowances(
         self: &Rc<Self>,
         not_coordinated: impl Fn(Vec<&ProgramName>) -> Vec<ProgramName>,
     ) {
         let mut allowances = self.allowances.borrow_mut();
-        let in_use = allowances.held.iter().filter(|(_, held)| held.used_at.elapsed() < IN_USE);
-        let lost = not_coordinated(in_use.map(|(program, _)| program).collect());
-        for program in lost {
+        let recent =
+            allowances.held.iter().filter(|(_, held)| held.used_at.elapsed() < RECENT_USE_INTERVAL);
+        let reassigned = not_coordinated(recent.map(|(program, _)| program).collect());
+        for program in reassigned {
             let Some(held) = allowances.held.get_mut(&program) else { continue };
-            held.stands_in = true;
+            held.is_proxy = true;
             if held.allowance.is_idle() {
                 let allowance = held.allowance.clone();
-                allowances.forget(&program);
-                actix_rt::spawn(self.clone().give_back(program, allowance));
+                allowances.remove(&program);
+                actix_rt::spawn(self.clone().release_allowance(program, allowance));
             }
         }
     }
 
-    /// Gives back what programs that go on elsewhere need, before this instance ends.
-    pub(crate) async fn give_back_allowances(self: &Rc<Self>) {
-        let idle = self.allowances.borrow_mut().take_idle(|held| held.used_at.elapsed() < IN_USE);
-        let returned =
-            idle.into_iter().map(|(program, allowance)| self.clone().give_back(program, allowance));
-        join_all(returned).await;
+    /// Releases recently used allowances at shutdown, as their programs continue at other instances.
+    pub(crate) async fn release_allowances(self: &Rc<Self>) {
+        let idle = self
+            .allowances
+            .borrow_mut()
+            .take_idle(|held| held.used_at.elapsed() < RECENT_USE_INTERVAL);
+        let released = idle
+            .into_iter()
+            .map(|(program, allowance)| self.clone().release_allowance(program, allowance));
+        join_all(released).await;
     }
 
-    async fn give_back(self: Rc<Self>, program: ProgramName, allowance: TokenAllowance) {
-        let limit = Instant::now() + BACKGROUND_LIMIT;
-        self.settle(&program, allowance.name(), allowance.committed(), limit).await;
+    async fn release_allowance(self: Rc<Self>, program: ProgramName, allowance: TokenAllowance) {
+        let deadline = Instant::now() + BACKGROUND_SETTLE_TIMEOUT;
+        self.settle(&program, allowance.name(), allowance.committed(), deadline).await;
     }
 }
--- a/src/gateway/turns/chain.rs
+++ b/src/gateway/turns/chain.rs
@@ -1,44 +1,44 @@
-//! What a turn continues from.
+//! Loads the chain of a turn: the turn with all its predecessors.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-use super::TurnKeeper;
-use super::rows::{TABLE, index_key};
+use super::TurnManager;
+use super::rows::{PROGRAMS_TABLE, index_key};
 use crate::core::turns::{ChainLookup, ProgramName, TurnId, TurnRecord};
 use crate::gateway::rows::RowRange;
 use crate::node::platform::StoreError;
 
-/// Why a chain could not be had.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum ChainError {
-    /// The store has no such turn: it was asked just now.
+    /// Confirmed by a read of the store.
     NoSuchTurn,
     Store(StoreError),
 }
 
-/// What a turn continues from.
+/// The records of a turn and its predecessors, whose inputs and outputs form the history that the
+/// next turn continues from.
 #[derive(Debug, Default)]
 pub(crate) struct TurnChain {
     /// Oldest first.
     pub(crate) turns: Vec<Rc<TurnRecord>>,
-    /// The program that made the last one, if it is another one than the turn's.
+    /// Author of the last turn, if it is a different program.
     pub(crate) origin: Option<ProgramName>,
 }
 
 impl TurnChain {
-    /// Other programs whose turns it goes on from.
+    /// Other programs whose turns are part of the chain.
     pub(crate) fn origins(&self) -> BTreeSet<ProgramName> {
         let earlier = self.turns.iter().filter_map(|turn| turn.origin.clone());
         earlier.chain(self.origin.clone()).collect()
     }
 }
 
-impl TurnKeeper {
-    /// The chain that ends with `turn`, oldest first.
+impl TurnManager {
+    /// The chain that ends with `turn`.
     ///
-    /// The turn is looked for in the program first, and by the index if it is not there: a program
-    /// may go on from what another one said.
+    /// Missing turns are read from the program's own rows first, then found by the index: a program
+    /// may continue from another program's turn.
     pub(super) async fn chain(
         &self,
         program: &ProgramName,
@@ -47,7 +47,9 @@
         let mut loaded: Vec<ProgramName> = Vec::new();
         loop {
             let missing = match self.lookup(turn) {
-                ChainLookup::Complete(turns) => return Ok(self.whole_chain(program, turn, turns)),
+                ChainLookup::Complete(turns) => {
+                    return Ok(self.complete_chain(program, turn, turns));
+                }
                 ChainLookup::Missing(missing) => missing,
             };
             let next = if loaded.contains(program) {
@@ -63,21 +65,20 @@
         }
     }
 
-    fn whole_chain(
+    fn complete_chain(
         &self,
         program: &ProgramName,
         turn: &TurnId,
         turns: Vec<Rc<TurnRecord>>,
     ) -> TurnChain {
         let mut cache = self.cache.borrow_mut();
-        let maker = cache.program_of(turn);
-        if let Some(maker) = &maker {
-            cache.touch(maker);
+        let author = cache.program_of(turn);
+        if let Some(author) = &author {
+            cache.touch(author);
         }
-        TurnChain { turns, origin: maker.filter(|maker| maker != program) }
+        TurnChain { turns, origin: author.filter(|author| author != program) }
     }
 
-    /// Whether all of a chain is here.
     pub(super) fn has_chain(&self, turn: &TurnId) -> bool {
         matches!(self.lookup(turn), ChainLookup::Complete(_))
     }
@@ -86,12 +87,11 @@
         self.cache.borrow().chain(turn)
     }
 
-    /// The program that made a turn, from the index.
     async fn program_of(&self, turn: &TurnId) -> Result<ProgramName, ChainError> {
         let key = index_key(turn);
         let range = RowRange {
             table: key.table.clone(),
-            part: key.part.clone(),
+            partition: key.partition.clone(),
             from: Some(key.key.clone()),
             limit: Some(1),
         };
@@ -101,10 +101,13 @@
         String::from_utf8(value.to_vec()).map(Into::into).map_err(|_| ChainError::NoSuchTurn)
     }
 
-    /// Reads everything the store has of a program.
     pub(super) async fn load(&self, program: &ProgramName) -> Result<(), StoreError> {
-        let mut range =
-            RowRange { table: TABLE.into(), part: program.clone(), from: None, limit: None };
+        let mut range = RowRange {
+            table: PROGRAMS_TABLE.into(),
+            partition: program.clone(),
+            from: None,
+            limit: None,
+        };
         let mut rows = Vec::new();
         loop {
             let reply = self.store.range(&range).await?;
@@ -113,7 +116,7 @@
             // The smallest key after the last one.
             range.from = Some(format!("{}\0", last.key.key).into());
         }
-        self.take_rows(program, rows);
+        self.cache_rows(program, rows);
         Ok(())
     }
 }
--- a/src/gateway/turns/serve.rs
+++ b/src/gateway/turns/serve.rs
@@ -1,4 +1,4 @@
-//! Turns that this instance claims, keeps and settles for its peers.
+//! Serves peers as the coordinator of their programs: claims, stores and settles turns.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,35 +8,35 @@
 use tokio::time::Instant;
 
 use super::claim::{ClaimError, ClaimSource, TurnClaim};
-use super::messages::{ChainTurn, ClaimReply, ClaimRequest, KeepRequest, TurnEnd};
-use super::{BACKGROUND_LIMIT, CLAIM_PATH, SETTLE_PATH, TurnKeeper};
+use super::messages::{ChainTurn, ClaimReply, ClaimRequest, PersistRequest, TurnEnd};
+use super::{BACKGROUND_SETTLE_TIMEOUT, CLAIM_PATH, SETTLE_PATH, TurnManager};
 use crate::core::turns::{PrefixHolder, TurnRecord, TurnScope};
 use crate::util::framed::{frame, unframe};
 
-impl TurnKeeper {
-    /// Claims a turn for a peer; none if the peer must do it itself.
+impl TurnManager {
+    /// Returns `None` if the peer must claim the turn itself.
     ///
-    /// The reservation is the peer's from here on. It is not taken back when the peer has gone: the
-    /// peer may have claimed the turn another way and be running it under this reservation.
-    async fn claim_for(self: &Rc<Self>, request: &ClaimRequest) -> Option<Bytes> {
+    /// The reservation belongs to the peer from here on. It is kept even if the peer disconnects: the
+    /// peer may have taken the claim over and be running the turn under this reservation.
+    async fn claim_for_peer(self: &Rc<Self>, request: &ClaimRequest) -> Option<Bytes> {
         let claim = &request.claim;
-        let limit = Instant::now() + Duration::from_millis(request.limit_ms);
-        let reply = match self.claim_here(claim, limit, ClaimSource::Peer).await {
+        let deadline = Instant::now() + Duration::from_millis(request.limit_ms);
+        let reply = match self.claim_locally(claim, deadline, ClaimSource::Peer).await {
             Ok(claimed) => {
-                claimed.reservation.hand_over();
-                let known = if request.knows_chain { &[][..] } else { &claimed.chain.turns[..] };
-                return Some(self.granted(claim, known, claimed.holder));
+                claimed.reservation.transfer();
+                let records = if request.knows_chain { &[][..] } else { &claimed.chain.turns[..] };
+                return Some(self.granted_reply(claim, records, claimed.holder));
             }
             Err(ClaimError::NoSuchTurn) => ClaimReply::NoSuchTurn,
             Err(ClaimError::NotAdmitted) => ClaimReply::NotAdmitted,
             Err(ClaimError::Exhausted { committed }) => ClaimReply::Exhausted { committed },
-            Err(ClaimError::Store(_) | ClaimError::Doubtful(_)) => return None,
+            Err(ClaimError::Store(_) | ClaimError::Indeterminate(_)) => return None,
         };
         Some(frame(&reply, &[]))
     }
 
-    /// The reply with a chain, whose last turn is the claim's previous one.
-    fn granted(
+    /// `records` are the chain that ends with the claim's previous turn.
+    fn granted_reply(
         &self,
         claim: &TurnClaim,
         records: &[Rc<TurnRecord>],
@@ -57,26 +57,26 @@
         frame(&ClaimReply::Granted { chain, holder }, &parts)
     }
 
-    /// Does a peer's work: the reply's status and body. It goes on if the peer leaves meanwhile.
+    /// Returns the status and body of the reply. The work continues if the peer disconnects.
     pub(crate) async fn serve_peer(
         self: &Rc<Self>,
         path: &str,
         body: Bytes,
     ) -> (StatusCode, Bytes) {
-        let (keeper, path) = (self.clone(), Box::<str>::from(path));
-        let work = actix_rt::spawn(async move { keeper.work_for_peer(&path, &body).await });
+        let (manager, path) = (self.clone(), Box::<str>::from(path));
+        let work = actix_rt::spawn(async move { manager.handle_peer_request(&path, &body).await });
         let failed = (StatusCode::INTERNAL_SERVER_ERROR, Bytes::new());
         work.await.unwrap_or(failed)
     }
 
-    async fn work_for_peer(self: &Rc<Self>, path: &str, body: &Bytes) -> (StatusCode, Bytes) {
+    async fn handle_peer_request(self: &Rc<Self>, path: &str, body: &Bytes) -> (StatusCode, Bytes) {
         let malformed = (StatusCode::BAD_REQUEST, Bytes::new());
-        let unable = (StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
+        let unavailable = (StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
         if path == CLAIM_PATH {
             let Ok((request, _)) = unframe::<ClaimRequest>(body) else { return malformed };
-            return match self.claim_for(&request).await {
+            return match self.claim_for_peer(&request).await {
                 Some(reply) => (StatusCode::OK, reply),
-                None => unable,
+                None => unavailable,
             };
         }
         if path == SETTLE_PATH {
@@ -85,16 +85,16 @@
                 self.end_turn(&request);
                 return (StatusCode::OK, Bytes::new());
             }
-            let limit = Instant::now() + BACKGROUND_LIMIT;
-            self.settle(&request.program, &request.turn, request.used, limit).await;
+            let deadline = Instant::now() + BACKGROUND_SETTLE_TIMEOUT;
+            self.settle(&request.program, &request.turn, request.used, deadline).await;
             return (StatusCode::OK, Bytes::new());
         }
-        let Ok((request, record)) = unframe::<KeepRequest>(body) else { return malformed };
+        let Ok((request, record)) = unframe::<PersistRequest>(body) else { return malformed };
         let Ok(record) = TurnRecord::decode(record) else { return malformed };
-        let limit = Instant::now() + Duration::from_millis(request.limit_ms);
-        match self.record(&request.program, &request.turn, record, limit).await {
+        let deadline = Instant::now() + Duration::from_millis(request.limit_ms);
+        match self.store_record(&request.program, &request.turn, record, deadline).await {
             true => (StatusCode::OK, Bytes::new()),
-            false => unable,
+            false => unavailable,
         }
     }
 }
