--- a/src/node/calls/mod.rs
+++ b/src/node/calls/mod.rs
@@ -1,7 +1,7 @@
 //! Calls under way: from their admission to their final outcome.
 
 mod context;
-mod hold;
+mod durability;
 mod live;
 mod model;
 mod route;
--- a/src/node/calls/service.rs
+++ b/src/node/calls/service.rs
@@ -90,7 +90,7 @@
             upstream: target.id.clone(),
         };
         let intent = JournalRecord::Intended { program: request.program, intent };
-        match self.append_held(context, vec![intent]).await {
+        match self.append_durable(context, vec![intent]).await {
             Ok(()) => {}
             // Fenced before the intent was written: nothing was sent and no intent stands.
             Err(JournalError::Fenced) => {
--- a/src/node/calls/submit.rs
+++ b/src/node/calls/submit.rs
@@ -264,7 +264,7 @@
         let key = (context.request.program, context.request.number);
         let mut call = call;
         if context.epoch == self.incarnation() {
-            call = self.take_live(&context, call);
+            call = self.remove_live_call(&context, call);
             if let Some(record) = self.book.borrow_mut().get_mut(key.0) {
                 record.running = None;
                 record.last_active = Some(Instant::now());
@@ -301,7 +301,7 @@
         if records.is_empty() {
             return outcome;
         }
-        match self.append_held(context, records).await {
+        match self.append_durable(context, records).await {
             Ok(()) => outcome,
             Err(_) => CallOutcome::Unknown(UnknownCall {
                 message: "this instance lost the program before the answer was durable".into(),
