--- a/src/node/calls/context.rs
+++ b/src/node/calls/context.rs
@@ -1,4 +1,4 @@
-//! What is known of a call when it runs.
+//! Data of an admitted call that scheduling and execution use.
 
 use tokio::time::Instant;
 
@@ -6,7 +6,6 @@
 use crate::core::dispatch::ServiceClass;
 use crate::core::ids::{Incarnation, Tokens, WorkspaceId};
 
-/// What the definition and the workspace say about a call that may run.
 #[derive(Debug, Clone)]
 pub(crate) struct CallContext {
     pub(crate) request: CallRequest,
@@ -18,26 +17,25 @@
     pub(crate) shared_prefix: Box<str>,
     pub(crate) deadline: Instant,
     pub(crate) attained: Tokens,
-    /// Whether it is the first model call of a program that is no sub-agent.
-    pub(crate) newcomer: bool,
-    /// The whole history as an engine gets it.
+    /// True for the first model call of a program that is not a sub-agent.
+    pub(crate) cold: bool,
+    /// The shared prefix, then the inputs and answers in order.
     pub(crate) prompt: Vec<Box<str>>,
-    /// The incarnation that admitted the call.
-    pub(crate) epoch: Incarnation,
+    /// Admitted the call; no other incarnation may commit its result.
+    pub(crate) incarnation: Incarnation,
 }
 
-/// Bytes of a token in most texts; for estimates, never for budgets.
-const TYPICAL_BYTES_PER_TOKEN: usize = 4;
+/// Only for estimates; budgets use the model's `min_bytes_per_token`.
+const AVERAGE_BYTES_PER_TOKEN: usize = 4;
 
 impl CallContext {
-    /// Tokens of the prompt, roughly.
     pub(crate) fn prompt_tokens(&self) -> Tokens {
         let bytes: usize = self.prompt.iter().map(|part| part.len()).sum();
-        (bytes / TYPICAL_BYTES_PER_TOKEN) as Tokens
+        (bytes / AVERAGE_BYTES_PER_TOKEN) as Tokens
     }
 
-    /// Tokens of the prefix that all programs of the definition share, roughly.
+    /// Estimates the prefix that all programs of the definition share.
     pub(crate) fn shared_tokens(&self) -> Tokens {
-        (self.shared_prefix.len() / TYPICAL_BYTES_PER_TOKEN) as Tokens
+        (self.shared_prefix.len() / AVERAGE_BYTES_PER_TOKEN) as Tokens
     }
 }
--- a/src/node/calls/durability.rs
+++ b/src/node/calls/durability.rs
@@ -39,7 +39,7 @@
         context: &CallContext,
         records: Vec<JournalRecord>,
     ) -> Result<(), JournalError> {
-        let append = self.journal.append(context.epoch, records);
+        let append = self.journal.append(context.incarnation, records);
         tokio::pin!(append);
         loop {
             match timeout(self.settings.limits.commit_hold(), &mut append).await {
@@ -51,7 +51,7 @@
 
     /// Ends the streams of the current followers; later ones attach to a new `LiveCall`.
     fn detach_followers(&self, context: &CallContext) {
-        if context.epoch != self.incarnation() {
+        if context.incarnation != self.incarnation() {
             return;
         }
         let key = (context.request.program, context.request.number);
--- a/src/node/calls/model.rs
+++ b/src/node/calls/model.rs
@@ -130,7 +130,7 @@
     async fn run(mut self) -> CallConclusion {
         let mut avoid: Vec<UpstreamId> = Vec::new();
         while avoid.len() < MAX_ATTEMPTS {
-            if self.context.epoch != self.node.incarnation() {
+            if self.context.incarnation != self.node.incarnation() {
                 // The program has moved: its new owner will run the call if its caller repeats it.
                 break;
             }
--- a/src/node/calls/submit.rs
+++ b/src/node/calls/submit.rs
@@ -228,9 +228,9 @@
             definition: definition.name.clone(),
             shared_prefix: definition.shared_prefix.clone(),
             attained: record.tokens,
-            newcomer: record.tokens == 0 && record.parent.is_none(),
+            cold: record.tokens == 0 && record.parent.is_none(),
             prompt: prompt(record, &definition.shared_prefix, &request.input),
-            epoch: self.incarnation(),
+            incarnation: self.incarnation(),
             deadline,
             request,
         })
@@ -263,7 +263,7 @@
         self.metrics.call_finished(context.class, &outcome, started.elapsed());
         let key = (context.request.program, context.request.number);
         let mut call = call;
-        if context.epoch == self.incarnation() {
+        if context.incarnation == self.incarnation() {
             call = self.remove_live_call(&context, call);
             if let Some(record) = self.book.borrow_mut().get_mut(key.0) {
                 record.running = None;
--- a/src/node/engines/choice.rs
+++ b/src/node/engines/choice.rs
@@ -46,7 +46,7 @@
         let cost = PrefillCost { per_token: per_token * PREFILL_WEIGHT };
         let chooser =
             CacheAwareChooser { cost, remote_cost: REMOTE_COST, pressure_threshold: CROWDED };
-        let need = EngineNeed { prompt: context.prompt_tokens(), cold: context.newcomer };
+        let need = EngineNeed { prompt: context.prompt_tokens(), cold: context.cold };
         let index = chooser.choose(&candidates, need)?;
         Some(engines.swap_remove(index))
     }
--- a/src/node/engines/mod.rs
+++ b/src/node/engines/mod.rs
@@ -255,7 +255,7 @@
                 attained: context.attained,
                 tokens: need.tokens.min(u32::MAX.into()) as u32,
                 own_tokens: need.own_tokens.min(u32::MAX.into()) as u32,
-                newcomer: context.newcomer,
+                newcomer: context.cold,
                 wait: time_left(need.deadline),
             };
             let reply = match &owner {
