--- a/src/node/calls/model.rs
+++ b/src/node/calls/model.rs
@@ -330,7 +330,7 @@
         } else {
             CallOutcome::NotRun(refusal)
         };
-        CallConclusion { outcome, records: self.records, lasting: false }
+        CallConclusion { outcome, records: self.records, is_turn: false }
     }
 }
 
--- a/src/node/calls/service.rs
+++ b/src/node/calls/service.rs
@@ -66,7 +66,7 @@
         }
         let message = "the service did not answer; the same request id may be sent again";
         let outcome = unknown(message, true);
-        CallConclusion { outcome, records: Vec::new(), lasting: false }
+        CallConclusion { outcome, records: Vec::new(), is_turn: false }
     }
 
     /// Sends a non-idempotent call at most once.
@@ -100,21 +100,21 @@
             // Nothing was sent, but the intent may stand, and the next owner will not send it.
             Err(JournalError::Open) => {
                 let outcome = unknown("the call's owner was lost while it recorded the call", true);
-                return CallConclusion { outcome, records: Vec::new(), lasting: false };
+                return CallConclusion { outcome, records: Vec::new(), is_turn: false };
             }
         }
         match self.execute_service(context, service, target).await {
             Ok(reply) => answered(reply, target.id.clone()),
             Err(UpstreamError::Lost { message }) => {
                 let outcome = unknown(&message, false);
-                CallConclusion { outcome, records: Vec::new(), lasting: true }
+                CallConclusion { outcome, records: Vec::new(), is_turn: true }
             }
             Err(UpstreamError::NotSent | UpstreamError::Refused { .. }) => {
                 let (program, number) = (request.program, request.number);
                 let withdrawn = JournalRecord::Withdrawn { program, number };
                 let refusal = CallRefusal::retry(RefusalReason::Overloaded, SERVICE_RETRY);
                 let outcome = CallOutcome::NotRun(refusal);
-                CallConclusion { outcome, records: vec![withdrawn], lasting: false }
+                CallConclusion { outcome, records: vec![withdrawn], is_turn: false }
             }
         }
     }
--- a/src/node/calls/submit.rs
+++ b/src/node/calls/submit.rs
@@ -28,16 +28,16 @@
     /// Records besides the turn itself.
     pub(crate) records: Vec<JournalRecord>,
     /// Whether the outcome becomes the program's next turn.
-    pub(crate) lasting: bool,
+    pub(crate) is_turn: bool,
 }
 
 impl CallConclusion {
     pub(crate) fn answered(answer: CallAnswer) -> Self {
-        Self { outcome: answer.into(), records: Vec::new(), lasting: true }
+        Self { outcome: answer.into(), records: Vec::new(), is_turn: true }
     }
 
     pub(crate) fn refused(refusal: CallRefusal) -> Self {
-        Self { outcome: refusal.into(), records: Vec::new(), lasting: false }
+        Self { outcome: refusal.into(), records: Vec::new(), is_turn: false }
     }
 }
 
@@ -286,9 +286,9 @@
 
     /// Makes an execution's result durable before anyone is told that it is final.
     async fn conclude(&self, context: &CallContext, conclusion: CallConclusion) -> CallOutcome {
-        let CallConclusion { outcome, mut records, lasting } = conclusion;
+        let CallConclusion { outcome, mut records, is_turn } = conclusion;
         let program = context.request.program;
-        if lasting {
+        if is_turn {
             let turn = TurnRecord {
                 number: context.request.number,
                 request_id: context.request.request_id.clone(),
