--- a/src/node/calls/live.rs
+++ b/src/node/calls/live.rs
@@ -1,4 +1,4 @@
-//! A call that callers can follow, join and come back to.
+//! The streamed answer and the outcome of a call, for any number of followers.
 
 use std::cell::{Ref, RefCell};
 use std::rc::Rc;
@@ -8,15 +8,14 @@
 
 use crate::core::outcome::CallOutcome;
 
-/// What a follower of a call receives.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum CallEvent {
-    /// More of the answer, starting at byte `offset` of it.
+    /// The part of the answer that starts at byte `offset`.
     Tokens { offset: usize, text: Box<str> },
-    /// Nothing new; sent so that a follower can tell a slow call from a dead connection.
+    /// Keepalive, which distinguishes a slow call from a dead connection.
     Waiting,
-    /// The last event of every call.
+    /// Always the last event.
     Final(CallOutcome),
 }
 
@@ -26,7 +25,7 @@
     outcome: Option<CallOutcome>,
 }
 
-/// The answer of a call as far as it has come. Any number of followers may read it.
+/// The part of an answer received so far, and the outcome once it is known.
 #[derive(Debug, Default)]
 pub struct LiveCall {
     state: RefCell<LiveState>,
@@ -38,8 +37,7 @@
         Rc::new(Self::default())
     }
 
-    /// A call that has its outcome already.
-    pub fn done(outcome: CallOutcome) -> Rc<Self> {
+    pub fn finished(outcome: CallOutcome) -> Rc<Self> {
         let call = Self::new();
         if let CallOutcome::Answered(answer) = &outcome {
             call.push(&answer.text);
@@ -53,15 +51,15 @@
         self.changed.notify_waiters();
     }
 
-    /// Adds what of the whole answer has not been streamed: all of it for a plain service.
-    pub(crate) fn complete(&self, answer: &str) {
+    /// Appends the part of the complete answer that was not streamed; services stream nothing.
+    pub(crate) fn push_remainder(&self, answer: &str) {
         let streamed = self.text().len();
         if let Some(rest) = answer.get(streamed..) {
             self.push(rest);
         }
     }
 
-    /// Sets the outcome; the first one stays.
+    /// Later outcomes are ignored.
     pub(crate) fn finish(&self, outcome: CallOutcome) {
         self.state.borrow_mut().outcome.get_or_insert(outcome);
         self.changed.notify_waiters();
@@ -75,20 +73,20 @@
         Ref::map(self.state.borrow(), |state| state.text.as_str())
     }
 
-    /// The next event for a follower that has the answer up to byte `offset`.
+    /// Waits for the next event of a follower that has the answer up to byte `offset`.
     pub async fn next(&self, offset: usize) -> CallEvent {
         loop {
             let changed = self.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
-            if let Some(event) = self.poll(offset) {
+            if let Some(event) = self.ready_event(offset) {
                 return event;
             }
             changed.await;
         }
     }
 
-    fn poll(&self, offset: usize) -> Option<CallEvent> {
+    fn ready_event(&self, offset: usize) -> Option<CallEvent> {
         let state = self.state.borrow();
         if let Some(text) = state.text.get(offset..).filter(|text| !text.is_empty()) {
             return Some(CallEvent::Tokens { offset, text: text.into() });
@@ -96,7 +94,6 @@
         state.outcome.clone().map(CallEvent::Final)
     }
 
-    /// Waits for the outcome.
     pub async fn wait(&self) -> CallOutcome {
         loop {
             let offset = self.text().len();
--- a/src/node/calls/submit.rs
+++ b/src/node/calls/submit.rs
@@ -117,7 +117,7 @@
         let expected = record.next_number();
         let wrong = CallRefusal::permanent(RefusalReason::WrongNumber { expected });
         let turn = record.turn(number).ok_or(wrong)?;
-        Ok(LiveCall::done(turn.outcome.clone()))
+        Ok(LiveCall::finished(turn.outcome.clone()))
     }
 
     /// Submits a call of a program that is served here.
@@ -137,7 +137,7 @@
                 Admission::Run => return self.run(request, deadline),
                 Admission::LoadTurns => self.fill_turns(request.program).await?,
                 Admission::Attach => return self.find_call(request.program, request.number),
-                Admission::Recorded(outcome) => return Ok(LiveCall::done(outcome)),
+                Admission::Recorded(outcome) => return Ok(LiveCall::finished(outcome)),
                 Admission::Refuse(reason) if is_stateful(&reason) && !confirmed => {
                     self.confirm_owner(request.program).await?;
                     confirmed = true;
@@ -277,7 +277,7 @@
             .detail(format!("number={} outcome={detail}", key.1))
             .log();
         if let CallOutcome::Answered(answer) = &outcome {
-            call.complete(&answer.text);
+            call.push_remainder(&answer.text);
         }
         call.finish(outcome);
         self.calls_changed.notify_waiters();
@@ -328,7 +328,7 @@
     }
     let message = "the program's owner did not answer; the same request id may be sent again";
     let unknown = UnknownCall { message: message.into(), retryable: true };
-    Ok(LiveCall::done(CallOutcome::Unknown(unknown)))
+    Ok(LiveCall::finished(CallOutcome::Unknown(unknown)))
 }
 
 fn prompt(record: &ProgramRecord, shared_prefix: &str, input: &str) -> Vec<Box<str>> {
