--- a/src/node/calls/route.rs
+++ b/src/node/calls/route.rs
@@ -1,56 +1,55 @@
-//! Where a program's calls are served, and whether that is certain.
+//! Finds the instance that serves a program, and confirms that this one has not been fenced.
 
 use std::time::Duration;
 
 use tokio::time::{Instant, timeout, timeout_at};
 
-use super::submit::{STALE_RETRY, moving};
+use super::submit::{STALE_RETRY_DELAY, owner_moving};
 use crate::core::ids::{ProgramId, ShardId, shard_of};
 use crate::core::members::MemberInfo;
 use crate::core::outcome::{CallRefusal, RefusalReason};
 use crate::core::ownership::ShardPhase;
 use crate::node::instance::Node;
 
-/// How long a call waits for a shard that changes its owner before it is told to come back.
-const ROUTE_PATIENCE: Duration = Duration::from_secs(8);
-const ROUTE_RECHECK: Duration = Duration::from_millis(100);
-/// A shard's row is read at most this often for the calls that wait for its owner.
-const OWNER_REREAD: Duration = Duration::from_millis(250);
+/// Bounds the wait for a shard that is changing its owner.
+const ROUTE_TIMEOUT: Duration = Duration::from_secs(8);
+const ROUTE_RECHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum interval between reads of one shard's row, and the timeout of such a read.
+const OWNER_READ_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Where a program's calls are served.
 pub(crate) enum ProgramRoute {
     Here,
     Peer(MemberInfo),
 }
 
 impl Node {
-    /// Finds out where a program is served, waiting a while for a shard that is moving.
+    /// Waits for a limited time if the program's shard is moving.
     pub(crate) async fn route(&self, program: ProgramId) -> Result<ProgramRoute, CallRefusal> {
-        self.route_until(program, Instant::now() + ROUTE_PATIENCE).await
+        self.route_until(program, Instant::now() + ROUTE_TIMEOUT).await
     }
 
     /// Like [`Node::route`], waiting until `deadline` while this instance hands the shard over.
     ///
-    /// A shard is handed over when its running calls are done, which may take as long as a call
-    /// does. A refusal after a fixed time would send the callers of all its other programs away.
+    /// A handover waits for the shard's running calls, so a fixed timeout would refuse calls of all
+    /// its other programs during one long call.
     pub(super) async fn route_until(
         &self,
         program: ProgramId,
         deadline: Instant,
     ) -> Result<ProgramRoute, CallRefusal> {
         let shard = shard_of(program);
-        let mut patience = Instant::now() + ROUTE_PATIENCE;
+        let mut move_deadline = Instant::now() + ROUTE_TIMEOUT;
         loop {
             if shard >= self.shards.borrow().shards() {
                 return Err(CallRefusal::permanent(RefusalReason::UnknownProgram));
             }
             if self.is_stopped() {
-                return Err(moving());
+                return Err(owner_moving());
             }
             let phase = self.shards.borrow().phase(shard);
             match phase {
                 Some(ShardPhase::Serving) => return Ok(ProgramRoute::Here),
-                Some(ShardPhase::Draining) => patience = Instant::now() + ROUTE_PATIENCE,
+                Some(ShardPhase::Draining) => move_deadline = Instant::now() + ROUTE_TIMEOUT,
                 Some(ShardPhase::Loading) => {}
                 None => {
                     if let Some(peer) = self.shard_peer(shard) {
@@ -58,38 +57,36 @@
                     }
                 }
             }
-            if Instant::now() >= patience.min(deadline) {
-                return Err(moving());
+            if Instant::now() >= move_deadline.min(deadline) {
+                return Err(owner_moving());
             }
-            self.look_up_owner(shard).await;
+            self.wait_for_owner_change(shard).await;
         }
     }
 
-    /// Waits for news of a shard's owner, and reads its row if nobody did so a moment ago.
-    pub(super) async fn look_up_owner(&self, shard: ShardId) {
-        let read = self.owners_read.borrow().get(&shard).copied();
-        let elsewhere = self.shards.borrow().phase(shard).is_none();
-        if elsewhere && read.is_none_or(|at| at.elapsed() >= OWNER_REREAD) {
+    /// Reads the shard's row unless it was read recently, then waits briefly for any shard to change.
+    pub(super) async fn wait_for_owner_change(&self, shard: ShardId) {
+        let last_read = self.owners_read.borrow().get(&shard).copied();
+        let not_owned = self.shards.borrow().phase(shard).is_none();
+        if not_owned && last_read.is_none_or(|at| at.elapsed() >= OWNER_READ_INTERVAL) {
             self.owners_read.borrow_mut().insert(shard, Instant::now());
-            let _ = timeout(OWNER_REREAD, self.reread_shards(&[shard])).await;
+            let _ = timeout(OWNER_READ_INTERVAL, self.reread_shards(&[shard])).await;
         }
-        let recheck = Instant::now() + ROUTE_RECHECK;
-        let _ = timeout_at(recheck, self.shards_changed.notified()).await;
+        let recheck_at = Instant::now() + ROUTE_RECHECK_INTERVAL;
+        let _ = timeout_at(recheck_at, self.shards_changed.notified()).await;
     }
 
-    /// Makes sure that what is known here of a program is the newest.
+    /// Confirms with the table that this instance has not been fenced.
     ///
-    /// An instance that was cut off or paused may have been fenced and not know it. Its view of a
-    /// program that moved on elsewhere would refuse the caller's rightful next call for good.
-    /// Such answers are given only after the table has shown, since they were asked for, that the
-    /// fence is not there.
+    /// A partitioned or paused instance may not know that it was fenced, and its outdated state
+    /// would permanently refuse a valid call. Refusals that depend on history need this check first.
     pub(crate) async fn confirm_owner(&self, program: ProgramId) -> Result<(), CallRefusal> {
-        let confirmed = self.confirm_unfenced().await;
-        let unavailable = CallRefusal::retry(RefusalReason::StoreUnavailable, STALE_RETRY);
+        let unfenced = self.confirm_unfenced().await;
+        let unavailable = CallRefusal::retry(RefusalReason::StoreUnavailable, STALE_RETRY_DELAY);
         let serving = self.shards.borrow().phase(shard_of(program)) == Some(ShardPhase::Serving);
-        match confirmed {
+        match unfenced {
             Ok(true) if serving => Ok(()),
-            Ok(_) => Err(moving()),
+            Ok(_) => Err(owner_moving()),
             Err(_) => Err(unavailable),
         }
     }
--- a/src/node/calls/submit.rs
+++ b/src/node/calls/submit.rs
@@ -1,4 +1,4 @@
-//! Admission of calls: to the right instance, in order, within limits.
+//! Admits calls: forwards them to their program's owner, orders them and checks their limits.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,18 +16,16 @@
 use crate::node::instance::Node;
 use crate::node::peers::PeerError;
 
-/// When to come back to a shard that is still moving.
-const MOVING_RETRY: Duration = Duration::from_millis(500);
-pub(super) const STALE_RETRY: Duration = Duration::from_secs(1);
-/// Longest hold of a carried call at an owner that hands its shard over.
-const DRAIN_HOLD: Duration = Duration::from_millis(800);
+const OWNER_MOVING_RETRY_DELAY: Duration = Duration::from_millis(500);
+pub(super) const STALE_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Bounds the wait of a forwarded call at an owner that hands its shard over.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What a finished execution leaves to be journaled.
 pub(crate) struct CallConclusion {
     pub(crate) outcome: CallOutcome,
-    /// Records besides the turn itself.
+    /// Does not include the turn's own record.
     pub(crate) records: Vec<JournalRecord>,
-    /// Whether the outcome becomes the program's next turn.
+    /// The outcome is recorded as the program's next turn.
     pub(crate) is_turn: bool,
 }
 
@@ -42,8 +40,7 @@
 }
 
 impl Node {
-    /// Submits a call, wherever its program is served. It is carried over again when its shard
-    /// turns out to have moved.
+    /// Submits a call on any instance. It is forwarded again if its shard has moved meanwhile.
     pub async fn submit(
         self: &Rc<Self>,
         request: CallRequest,
@@ -57,7 +54,7 @@
                 ProgramRoute::Here => self.submit_here(request.clone()).await,
                 ProgramRoute::Peer(peer) => {
                     let forwarded = self.peers.forward_call(&peer, request.clone()).await;
-                    forwarded.unwrap_or_else(|error| lost_forward(&error))
+                    forwarded.unwrap_or_else(|error| forward_failure(&error))
                 }
             };
             match submitted {
@@ -65,14 +62,13 @@
                     if refusal.reason == RefusalReason::OwnerMoving
                         && Instant::now() < deadline =>
                 {
-                    self.look_up_owner(shard_of(program)).await;
+                    self.wait_for_owner_change(shard_of(program)).await;
                 }
                 other => return other,
             }
         }
     }
 
-    /// Follows a call by its number, wherever its program is served.
     pub async fn follow(
         self: &Rc<Self>,
         program: ProgramId,
@@ -82,12 +78,12 @@
             ProgramRoute::Here => self.follow_here(program, number).await,
             ProgramRoute::Peer(peer) => {
                 let forwarded = self.peers.forward_follow(&peer, program, number).await;
-                forwarded.unwrap_or_else(|_| Err(moving()))
+                forwarded.unwrap_or_else(|_| Err(owner_moving()))
             }
         }
     }
 
-    /// Follows a call of a program that is served here.
+    /// The program must be served here.
     pub async fn follow_here(
         &self,
         program: ProgramId,
@@ -95,7 +91,7 @@
     ) -> Result<Rc<LiveCall>, CallRefusal> {
         self.fill_turns(program).await?;
         match self.find_call(program, number) {
-            Err(refusal) if is_stateful(&refusal.reason) => {
+            Err(refusal) if depends_on_history(&refusal.reason) => {
                 self.confirm_owner(program).await?;
                 self.find_call(program, number)
             }
@@ -115,37 +111,38 @@
         let unknown = CallRefusal::permanent(RefusalReason::UnknownProgram);
         let record = book.get(program).ok_or(unknown)?;
         let expected = record.next_number();
-        let wrong = CallRefusal::permanent(RefusalReason::WrongNumber { expected });
-        let turn = record.turn(number).ok_or(wrong)?;
+        let wrong_number = CallRefusal::permanent(RefusalReason::WrongNumber { expected });
+        let turn = record.turn(number).ok_or(wrong_number)?;
         Ok(LiveCall::finished(turn.outcome.clone()))
     }
 
-    /// Submits a call of a program that is served here.
+    /// The program must be served here.
     pub async fn submit_here(
         self: &Rc<Self>,
         request: CallRequest,
     ) -> Result<Rc<LiveCall>, CallRefusal> {
         let deadline = request.deadline.unwrap_or(self.settings.limits.call_deadline());
         let deadline = Instant::now() + deadline;
-        self.wait_drained(shard_of(request.program)).await;
+        self.wait_while_draining(shard_of(request.program)).await;
         let mut confirmed = false;
         loop {
             let changed = self.calls_changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
             match self.admit(&request)? {
-                Admission::Run => return self.run(request, deadline),
+                Admission::Run => return self.start_call(request, deadline),
                 Admission::LoadTurns => self.fill_turns(request.program).await?,
                 Admission::Attach => return self.find_call(request.program, request.number),
                 Admission::Recorded(outcome) => return Ok(LiveCall::finished(outcome)),
-                Admission::Refuse(reason) if is_stateful(&reason) && !confirmed => {
+                Admission::Refuse(reason) if depends_on_history(&reason) && !confirmed => {
                     self.confirm_owner(request.program).await?;
                     confirmed = true;
                 }
                 Admission::Refuse(reason) => return Err(CallRefusal::permanent(reason)),
                 Admission::Wait => {
                     if timeout_at(deadline, changed).await.is_err() {
-                        let retry = CallRefusal::retry(RefusalReason::Overloaded, MOVING_RETRY);
+                        let retry =
+                            CallRefusal::retry(RefusalReason::Overloaded, OWNER_MOVING_RETRY_DELAY);
                         return Err(retry);
                     }
                 }
@@ -153,21 +150,21 @@
         }
     }
 
-    /// Waits a moment for a shard that is being handed over, so that whoever carried a call here
-    /// learns at once where it has gone instead of asking again and again.
-    async fn wait_drained(&self, shard: ShardId) {
-        let limit = Instant::now() + DRAIN_HOLD;
+    /// Waits briefly while the shard drains, so that the forwarding instance does not poll for the
+    /// new owner.
+    async fn wait_while_draining(&self, shard: ShardId) {
+        let deadline = Instant::now() + DRAIN_TIMEOUT;
         while self.shards.borrow().phase(shard) == Some(ShardPhase::Draining) {
-            if timeout_at(limit, self.shards_changed.notified()).await.is_err() {
+            if timeout_at(deadline, self.shards_changed.notified()).await.is_err() {
                 return;
             }
         }
     }
 
     fn admit(&self, request: &CallRequest) -> Result<Admission, CallRefusal> {
-        // The shard may have gone while the call waited for an earlier one.
+        // The shard may have moved while the call waited for an earlier one.
         if self.shards.borrow().phase(shard_of(request.program)) != Some(ShardPhase::Serving) {
-            return Err(moving());
+            return Err(owner_moving());
         }
         let book = self.book.borrow();
         let Some(record) = book.get(request.program) else {
@@ -176,7 +173,7 @@
         Ok(record.admit(&request.key()))
     }
 
-    fn run(
+    fn start_call(
         self: &Rc<Self>,
         request: CallRequest,
         deadline: Instant,
@@ -195,7 +192,6 @@
         Ok(call)
     }
 
-    /// Checks a call against configuration and limits.
     fn call_context(
         &self,
         request: CallRequest,
@@ -206,19 +202,19 @@
         self.check_workspace(&record.workspace)?;
         let config = self.config.borrow();
         let workspace = config.workspace(&record.workspace);
-        let unknown = CallRefusal::permanent(RefusalReason::UnknownWorkspace);
-        let workspace = &workspace.ok_or(unknown)?.value;
-        let unknown = CallRefusal::permanent(RefusalReason::UnknownDefinition);
+        let unknown_workspace = CallRefusal::permanent(RefusalReason::UnknownWorkspace);
+        let workspace = &workspace.ok_or(unknown_workspace)?.value;
+        let unknown_definition = CallRefusal::permanent(RefusalReason::UnknownDefinition);
         let definition = config.definition(&record.workspace, &record.definition);
-        let definition = &definition.ok_or(unknown)?.value;
-        let limit = |limit: &str| {
+        let definition = &definition.ok_or(unknown_definition)?.value;
+        let limit_reached = |limit: &str| {
             CallRefusal::permanent(RefusalReason::LimitReached { limit: limit.into() })
         };
         if record.next_number() > definition.max_turns {
-            return Err(limit("turns"));
+            return Err(limit_reached("turns"));
         }
         if record.tokens >= definition.max_tokens {
-            return Err(limit("tokens"));
+            return Err(limit_reached("tokens"));
         }
         Ok(CallContext {
             workspace: workspace.id.clone(),
@@ -229,21 +225,22 @@
             shared_prefix: definition.shared_prefix.clone(),
             attained: record.tokens,
             cold: record.tokens == 0 && record.parent.is_none(),
-            prompt: prompt(record, &definition.shared_prefix, &request.input),
+            prompt: build_prompt(record, &definition.shared_prefix, &request.input),
             incarnation: self.incarnation(),
             deadline,
             request,
         })
     }
 
-    /// Whether the configuration, known to be current, lets a workspace have work done.
+    /// Refuses calls of unknown or retired workspaces, and all calls while the configuration may be
+    /// stale.
     ///
-    /// Asked at admission, and again before the call is dispatched: it may have waited for a slot
-    /// longer than an accepted change takes to be in force.
+    /// Checked at admission and again before dispatch, since the configuration may change while a
+    /// call waits for a slot.
     pub(crate) fn check_workspace(&self, workspace: &str) -> Result<(), CallRefusal> {
         let config = self.config.borrow();
         if !config.is_current(Instant::now(), self.settings.limits.config_bound()) {
-            return Err(CallRefusal::retry(RefusalReason::ConfigStale, STALE_RETRY));
+            return Err(CallRefusal::retry(RefusalReason::ConfigStale, STALE_RETRY_DELAY));
         }
         if config.workspace(workspace).is_none_or(|found| found.value.retired) {
             return Err(CallRefusal::permanent(RefusalReason::UnknownWorkspace));
@@ -259,7 +256,7 @@
                 self.run_service(&context, service, *idempotent).await
             }
         };
-        let outcome = self.conclude(&context, conclusion).await;
+        let outcome = self.commit_conclusion(&context, conclusion).await;
         self.metrics.call_finished(context.class, &outcome, started.elapsed());
         let key = (context.request.program, context.request.number);
         let mut call = call;
@@ -284,8 +281,12 @@
         self.shards_changed.notify_waiters();
     }
 
-    /// Makes an execution's result durable before anyone is told that it is final.
-    async fn conclude(&self, context: &CallContext, conclusion: CallConclusion) -> CallOutcome {
+    /// Makes the result durable before any follower receives it as final.
+    async fn commit_conclusion(
+        &self,
+        context: &CallContext,
+        conclusion: CallConclusion,
+    ) -> CallOutcome {
         let CallConclusion { outcome, mut records, is_turn } = conclusion;
         let program = context.request.program;
         if is_turn {
@@ -311,27 +312,26 @@
     }
 }
 
-/// Whether a refusal states something of a program that changes as it goes on.
-fn is_stateful(reason: &RefusalReason) -> bool {
+/// The refusal depends on the program's history, which may be out of date on a fenced instance.
+fn depends_on_history(reason: &RefusalReason) -> bool {
     matches!(reason, RefusalReason::WrongNumber { .. } | RefusalReason::UnknownProgram)
 }
 
-pub(super) fn moving() -> CallRefusal {
-    CallRefusal::retry(RefusalReason::OwnerMoving, MOVING_RETRY)
+pub(super) fn owner_moving() -> CallRefusal {
+    CallRefusal::retry(RefusalReason::OwnerMoving, OWNER_MOVING_RETRY_DELAY)
 }
 
-/// The answer to a call whose owner could not be asked. "Not run" is only said if no byte of the
-/// call has left for it: an owner that got the call may be running it.
-fn lost_forward(error: &PeerError) -> Result<Rc<LiveCall>, CallRefusal> {
+/// `NotRun` only if no byte of the call was sent: an owner that received it may be running it.
+fn forward_failure(error: &PeerError) -> Result<Rc<LiveCall>, CallRefusal> {
     if !error.sent {
-        return Err(moving());
+        return Err(owner_moving());
     }
     let message = "the program's owner did not answer; the same request id may be sent again";
     let unknown = UnknownCall { message: message.into(), retryable: true };
     Ok(LiveCall::finished(CallOutcome::Unknown(unknown)))
 }
 
-fn prompt(record: &ProgramRecord, shared_prefix: &str, input: &str) -> Vec<Box<str>> {
+fn build_prompt(record: &ProgramRecord, shared_prefix: &str, input: &str) -> Vec<Box<str>> {
     let mut prompt: Vec<Box<str>> = vec![shared_prefix.into()];
     for turn in &record.turns {
         prompt.push(turn.input.clone());
