--- a/src/node/calls/service.rs
+++ b/src/node/calls/service.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services: retried if idempotent, else sent at most once.
+//! Runs calls on plain services: retried if idempotent, otherwise sent at most once.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,9 +17,8 @@
 use crate::node::platform::{RosterEntry, RosterRole};
 use crate::node::upstream::{ServiceReply, ServiceRequest, UpstreamError};
 
-/// Times an idempotent call is sent.
 const MAX_ATTEMPTS: usize = 3;
-const SERVICE_RETRY: Duration = Duration::from_secs(1);
+const SERVICE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 impl Node {
     pub(super) async fn run_service(
@@ -34,13 +33,13 @@
         }
         let targets = self.roster.borrow().serving(RosterRole::Service, service);
         if targets.is_empty() {
-            let refusal = CallRefusal::retry(RefusalReason::Overloaded, SERVICE_RETRY);
+            let refusal = CallRefusal::retry(RefusalReason::Overloaded, SERVICE_RETRY_DELAY);
             return CallConclusion::refused(refusal);
         }
         if idempotent {
             self.run_idempotent(context, service, &targets).await
         } else {
-            self.run_once(context, service, &targets).await
+            self.run_at_most_once(context, service, &targets).await
         }
     }
 
@@ -50,31 +49,31 @@
         service: &str,
         targets: &[RosterEntry],
     ) -> CallConclusion {
-        let mut sent = false;
-        let first = context.request.program as usize;
+        let mut maybe_sent = false;
+        let offset = context.request.program as usize;
         for attempt in 0..MAX_ATTEMPTS {
-            let target = &targets[(first + attempt) % targets.len()];
+            let target = &targets[(offset + attempt) % targets.len()];
             match self.execute_service(context, service, target).await {
                 Ok(reply) => return answered(reply, target.id.clone()),
-                Err(UpstreamError::Lost { .. }) => sent = true,
+                Err(UpstreamError::Lost { .. }) => maybe_sent = true,
                 Err(_) => {}
             }
         }
-        if !sent {
-            let refusal = CallRefusal::retry(RefusalReason::Overloaded, SERVICE_RETRY);
+        if !maybe_sent {
+            let refusal = CallRefusal::retry(RefusalReason::Overloaded, SERVICE_RETRY_DELAY);
             return CallConclusion::refused(refusal);
         }
         let message = "the service did not answer; the same request id may be sent again";
-        let outcome = unknown(message, true);
+        let outcome = unknown_outcome(message, true);
         CallConclusion { outcome, records: Vec::new(), is_turn: false }
     }
 
     /// Sends a non-idempotent call at most once.
     ///
-    /// The intent is durable before the first byte goes out, in a write that fails if this
-    /// incarnation has been fenced. Whoever finds an intent without a result, here or after a
-    /// takeover, records the outcome as unknown and never sends it again.
-    async fn run_once(
+    /// The intent is made durable before the first byte is sent, in a write that fails if this
+    /// incarnation has been fenced. An owner that loads an intent without a result records the
+    /// outcome as unknown and never resends the call.
+    async fn run_at_most_once(
         &self,
         context: &CallContext,
         service: &str,
@@ -92,27 +91,28 @@
         let intent = JournalRecord::Intended { program: request.program, intent };
         match self.append_durable(context, vec![intent]).await {
             Ok(()) => {}
-            // Fenced before the intent was written: nothing was sent and no intent stands.
+            // Nothing was sent and no intent is stored.
             Err(JournalError::Fenced) => {
-                let refusal = CallRefusal::retry(RefusalReason::OwnerMoving, SERVICE_RETRY);
+                let refusal = CallRefusal::retry(RefusalReason::OwnerMoving, SERVICE_RETRY_DELAY);
                 return CallConclusion::refused(refusal);
             }
-            // Nothing was sent, but the intent may stand, and the next owner will not send it.
+            // Nothing was sent, but the intent may be stored, and the next owner never sends it.
             Err(JournalError::Open) => {
-                let outcome = unknown("the call's owner was lost while it recorded the call", true);
+                let outcome =
+                    unknown_outcome("the call's owner was lost while it recorded the call", true);
                 return CallConclusion { outcome, records: Vec::new(), is_turn: false };
             }
         }
         match self.execute_service(context, service, target).await {
             Ok(reply) => answered(reply, target.id.clone()),
             Err(UpstreamError::Lost { message }) => {
-                let outcome = unknown(&message, false);
+                let outcome = unknown_outcome(&message, false);
                 CallConclusion { outcome, records: Vec::new(), is_turn: true }
             }
             Err(UpstreamError::NotSent | UpstreamError::Refused { .. }) => {
                 let (program, number) = (request.program, request.number);
                 let withdrawn = JournalRecord::Withdrawn { program, number };
-                let refusal = CallRefusal::retry(RefusalReason::Overloaded, SERVICE_RETRY);
+                let refusal = CallRefusal::retry(RefusalReason::Overloaded, SERVICE_RETRY_DELAY);
                 let outcome = CallOutcome::NotRun(refusal);
                 CallConclusion { outcome, records: vec![withdrawn], is_turn: false }
             }
@@ -126,14 +126,14 @@
         target: &RosterEntry,
     ) -> Result<ServiceReply, UpstreamError> {
         let settings = self.settings.service(service).expect("the service was looked up before");
-        let limit = Duration::from_millis(settings.timeout_ms);
+        let reply_timeout = Duration::from_millis(settings.timeout_ms);
         let request = ServiceRequest {
             request_id: format!("{:016x}-{}", context.request.program, context.request.request_id)
                 .into(),
             input: context.request.input.clone(),
         };
         let sending = self.services.execute(&target.address, &request);
-        let reply = timeout(limit, sending).await.unwrap_or_else(|_| {
+        let reply = timeout(reply_timeout, sending).await.unwrap_or_else(|_| {
             Err(UpstreamError::Lost { message: "the service did not answer in time".into() })
         });
         match &reply {
@@ -150,6 +150,6 @@
     CallConclusion::answered(CallAnswer { text: reply.text, upstream, usage })
 }
 
-fn unknown(message: &str, retryable: bool) -> CallOutcome {
+fn unknown_outcome(message: &str, retryable: bool) -> CallOutcome {
     CallOutcome::Unknown(UnknownCall { message: message.into(), retryable })
 }
