--- a/src/node/calls/model.rs
+++ b/src/node/calls/model.rs
@@ -1,4 +1,4 @@
-//! Calls to model engines: budget, engine choice, streaming and resumption.
+//! Runs calls on model engines: budget reservation, engine choice, streaming and resumption.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,41 +20,36 @@
 use crate::node::instance::Node;
 use crate::node::upstream::{EngineEvent, GenerateRequest, UpstreamError};
 
-/// Engines a call is tried on before it is given up.
 const MAX_ATTEMPTS: usize = 4;
-/// How long a preempted call may wait to be resumed. Its caller has part of the answer already; the
-/// surge that took its slot is over by then, or its grant in twenty has come.
-const RESUME_PATIENCE: Duration = Duration::from_secs(300);
-const ENGINE_RETRY: Duration = Duration::from_secs(1);
+/// Extends the deadline of a preempted call, whose caller already has part of the answer.
+const RESUME_TIMEOUT: Duration = Duration::from_secs(300);
+const ENGINE_RETRY_DELAY: Duration = Duration::from_secs(1);
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
-const CANCEL_RETRY: Duration = Duration::from_millis(500);
-/// How long an engine is asked for the cost of an attempt before all that was held is counted.
-const CANCEL_LIMIT: Duration = Duration::from_secs(60);
+const CANCEL_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// An attempt whose cost is not reported in this time is billed with its full reservation.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How one attempt on one engine ended.
-enum AttemptEnd {
+enum AttemptOutcome {
     Done(TokenUsage),
     Failed(UpstreamError),
-    /// The engine's owner wants the slot back for paying work.
+    /// The engine's owner revoked the permit in favor of a paying call.
     Preempted,
 }
 
-/// A model call under way.
 struct ModelCall<'a> {
     node: &'a Rc<Node>,
     context: &'a CallContext,
     call: &'a Rc<LiveCall>,
-    prompt_bound: Tokens,
+    max_prompt_tokens: Tokens,
     max_tokens: u32,
-    received: u32,
-    /// How long it may wait for a slot.
+    received_tokens: u32,
+    /// Limits the waits for budget and for a slot, not the run time.
     deadline: Instant,
-    /// Whether the engine has accepted the present attempt.
-    opened: bool,
-    /// Whether any engine may have got a byte of it.
-    sent: bool,
-    /// Tokens of attempts that failed, to be journaled.
-    records: Vec<JournalRecord>,
+    /// The engine has accepted the current attempt.
+    accepted: bool,
+    /// Any engine may have received a byte of the call; its outcome can't be `NotRun` then.
+    maybe_sent: bool,
+    failed_costs: Vec<JournalRecord>,
 }
 
 impl Node {
@@ -64,111 +59,110 @@
         max_tokens: u32,
         call: &Rc<LiveCall>,
     ) -> CallConclusion {
-        let bytes: usize = context.prompt.iter().map(|part| part.len()).sum();
+        let prompt_bytes: usize = context.prompt.iter().map(|part| part.len()).sum();
         let Some(model) = self.settings.model(&context.model) else {
             return CallConclusion::refused(CallRefusal::permanent(RefusalReason::UnknownUpstream));
         };
-        let prompt_bound = (bytes as Tokens).div_ceil(model.min_bytes_per_token.into());
+        let max_prompt_tokens = (prompt_bytes as Tokens).div_ceil(model.min_bytes_per_token.into());
         let run = ModelCall {
             node: self,
             context,
             call,
-            prompt_bound,
+            max_prompt_tokens,
             max_tokens,
-            received: 0,
+            received_tokens: 0,
             deadline: context.deadline,
-            opened: false,
-            sent: false,
-            records: Vec::new(),
+            accepted: false,
+            maybe_sent: false,
+            failed_costs: Vec::new(),
         };
         run.run().await
     }
 
-    /// Stops an attempt whose stream has failed, settles it with what the engine says it cost, and
-    /// returns that.
+    /// Cancels an attempt, settles its reservation with the cost the engine reports, and returns
+    /// that cost.
     ///
-    /// All that was held counts as spent if the engine does not know the request: it may have
-    /// restarted, and what it did before was billed. The same holds if it cannot be asked for so
-    /// long that the attempt has surely run to its end.
-    async fn settle_sent(
+    /// The full reservation is spent if the engine does not know the request, as after a restart,
+    /// or stays unreachable until the attempt must have ended.
+    async fn cancel_and_settle(
         &self,
         reservation: Reservation,
         address: Box<str>,
         request: RequestId,
     ) -> Tokens {
         let mut used = reservation.tokens;
-        let limit = Instant::now() + CANCEL_LIMIT;
-        while Instant::now() < limit {
+        let deadline = Instant::now() + SETTLE_TIMEOUT;
+        while Instant::now() < deadline {
             let cancel = self.engines.cancel(&address, &request);
             if let Ok(Ok(usage)) = timeout(CANCEL_TIMEOUT, cancel).await {
                 used = usage.map_or(used, |usage| usage.billed());
                 break;
             }
-            sleep(CANCEL_RETRY).await;
+            sleep(CANCEL_RETRY_DELAY).await;
         }
         self.settle(reservation, used);
         used
     }
 
-    /// Counts what a failed attempt cost towards its program's limits, if it is still served here.
+    /// Adds a failed attempt's cost to its program's usage, if the program is still served here.
     async fn record_spent(
         &self,
-        epoch: Incarnation,
+        incarnation: Incarnation,
         program: ProgramId,
         tokens: Tokens,
         upstream: UpstreamId,
     ) {
         let serving = self.shards.borrow().phase(shard_of(program)) == Some(ShardPhase::Serving);
-        if serving && epoch == self.incarnation() {
+        if serving && incarnation == self.incarnation() {
             let spent = JournalRecord::Spent { program, tokens, upstream };
-            let _ = self.journal.append(epoch, vec![spent]).await;
+            let _ = self.journal.append(incarnation, vec![spent]).await;
         }
     }
 }
 
 impl ModelCall<'_> {
     async fn run(mut self) -> CallConclusion {
-        let mut avoid: Vec<UpstreamId> = Vec::new();
-        while avoid.len() < MAX_ATTEMPTS {
+        let mut excluded: Vec<UpstreamId> = Vec::new();
+        while excluded.len() < MAX_ATTEMPTS {
             if self.context.incarnation != self.node.incarnation() {
-                // The program has moved: its new owner will run the call if its caller repeats it.
+                // The program has a new owner, which runs the call if it is retried.
                 break;
             }
             let reservation = match self.reserve().await {
                 Ok(reservation) => reservation,
-                Err(refusal) => return self.give_up(refusal),
+                Err(refusal) => return self.into_failure(refusal),
             };
-            let acquiring = self.node.acquire_engine(self.context, self.slot_need(), &avoid);
+            let acquiring = self.node.acquire_engine(self.context, self.slot_need(), &excluded);
             let permit = match acquiring.await {
                 Ok(permit) => permit,
                 Err(refusal) => {
                     self.node.settle(reservation, 0);
-                    return self.give_up(refusal);
+                    return self.into_failure(refusal);
                 }
             };
             if let Err(refusal) = self.node.check_workspace(&self.context.workspace) {
                 self.node.settle(reservation, 0);
-                return self.give_up(refusal);
+                return self.into_failure(refusal);
             }
             let engine = permit.engine().clone();
             match self.attempt(&permit, &reservation).await {
-                AttemptEnd::Done(usage) => {
+                AttemptOutcome::Done(usage) => {
                     self.node.readmit(&engine);
                     self.node.settle(reservation, usage.billed());
-                    return self.answered(engine, usage);
+                    return self.into_answer(engine, usage);
                 }
-                AttemptEnd::Preempted => {
-                    let stopped = UpstreamError::Lost { message: "preempted".into() };
-                    self.settle_failed(reservation, &permit, &stopped);
-                    self.deadline = self.deadline.max(Instant::now() + RESUME_PATIENCE);
+                AttemptOutcome::Preempted => {
+                    let preempted = UpstreamError::Lost { message: "preempted".into() };
+                    self.settle_failed(reservation, &permit, &preempted);
+                    self.deadline = self.deadline.max(Instant::now() + RESUME_TIMEOUT);
                     self.node
                         .event("call_preempted")
                         .program(self.context.request.program)
                         .upstream(&engine)
-                        .detail(format!("received={}", self.received))
+                        .detail(format!("received={}", self.received_tokens))
                         .log();
                 }
-                AttemptEnd::Failed(error) => {
+                AttemptOutcome::Failed(error) => {
                     if error.is_refusal() {
                         self.node.put_aside(&engine);
                     }
@@ -179,43 +173,47 @@
                         .upstream(&engine)
                         .detail(error.to_string())
                         .log();
-                    avoid.push(engine);
+                    excluded.push(engine);
                 }
             }
         }
-        let refusal = CallRefusal::retry(RefusalReason::Overloaded, ENGINE_RETRY);
-        self.give_up(refusal)
+        let refusal = CallRefusal::retry(RefusalReason::Overloaded, ENGINE_RETRY_DELAY);
+        self.into_failure(refusal)
     }
 
     fn slot_need(&self) -> SlotNeed {
         let own = self.context.prompt_tokens().saturating_sub(self.context.shared_tokens());
         SlotNeed {
-            tokens: self.worst(),
+            tokens: self.worst_case_tokens(),
             own_tokens: own + Tokens::from(self.max_tokens),
             deadline: self.deadline,
         }
     }
 
-    fn worst(&self) -> Tokens {
-        self.prompt_bound + Tokens::from(self.max_tokens)
+    fn worst_case_tokens(&self) -> Tokens {
+        self.max_prompt_tokens + Tokens::from(self.max_tokens)
     }
 
-    /// Holds the worst case of one attempt, waiting for a draw if need be.
+    /// Reserves the worst-case cost of one attempt, waiting for a budget draw if necessary.
     async fn reserve(&self) -> Result<Reservation, CallRefusal> {
         let workspace = &self.context.workspace;
         loop {
             let committed = self.node.journal.committed();
             tokio::pin!(committed);
             committed.as_mut().enable();
-            let wall = self.node.wall().as_millis() as u64;
-            let outcome = self.node.ledger.borrow_mut().reserve(workspace, self.worst(), wall);
+            let wall_millis = self.node.wall().as_millis() as u64;
+            let outcome = self.node.ledger.borrow_mut().reserve(
+                workspace,
+                self.worst_case_tokens(),
+                wall_millis,
+            );
             match outcome {
                 ReserveOutcome::Held(reservation) => return Ok(reservation),
                 ReserveOutcome::Exhausted => {
                     return Err(CallRefusal::permanent(RefusalReason::BudgetExhausted));
                 }
                 ReserveOutcome::Scarce => {
-                    // Two reviews pass at most before a grant that is idle elsewhere is back.
+                    // An idle grant of another instance is returned within two reviews.
                     let wait = 2 * self.node.settings.limits.budget_idle();
                     return Err(CallRefusal::retry(RefusalReason::BudgetExhausted, wait));
                 }
@@ -223,15 +221,19 @@
                     self.node.journal.wake();
                     if timeout_at(self.deadline, committed).await.is_err() {
                         let reason = RefusalReason::StoreUnavailable;
-                        return Err(CallRefusal::retry(reason, ENGINE_RETRY));
+                        return Err(CallRefusal::retry(reason, ENGINE_RETRY_DELAY));
                     }
                 }
             }
         }
     }
 
-    async fn attempt(&mut self, permit: &EnginePermit, reservation: &Reservation) -> AttemptEnd {
-        self.opened = false;
+    async fn attempt(
+        &mut self,
+        permit: &EnginePermit,
+        reservation: &Reservation,
+    ) -> AttemptOutcome {
+        self.accepted = false;
         let request = GenerateRequest {
             request_id: self.attempt_id(reservation),
             incarnation: reservation.incarnation,
@@ -241,73 +243,74 @@
             class: self.context.class,
             prompt: self.context.prompt.clone(),
             max_tokens: self.max_tokens,
-            resume_at: self.received,
+            resume_at: self.received_tokens,
         };
         let stall = self.node.settings.limits.stream_stall();
         let opening = self.node.engines.generate(permit.address(), &request);
         let mut stream = match timeout(stall, opening).await {
             Ok(Ok(stream)) => stream,
-            Ok(Err(error)) => return AttemptEnd::Failed(error),
-            Err(_) => return AttemptEnd::Failed(stalled(stall)),
+            Ok(Err(error)) => return AttemptOutcome::Failed(error),
+            Err(_) => return AttemptOutcome::Failed(stall_error(stall)),
         };
-        self.sent = true;
-        self.opened = true;
+        self.maybe_sent = true;
+        self.accepted = true;
         loop {
-            // Progress, not the socket's state, tells whether the stream lives: a connection that
-            // something on the way has forgotten stays open and silent for good.
+            // A connection dropped by a middlebox stays open without an error, so the stream is
+            // checked for progress.
             let event = tokio::select! {
                 biased;
-                () = permit.revoked() => return AttemptEnd::Preempted,
+                () = permit.revoked() => return AttemptOutcome::Preempted,
                 event = timeout(stall, stream.next()) => event,
             };
             match event {
                 Ok(Ok(EngineEvent::Tokens { text, count })) => {
-                    self.received += count;
+                    self.received_tokens += count;
                     self.call.push(&text);
                 }
-                Ok(Ok(EngineEvent::Done { usage })) => return AttemptEnd::Done(usage),
-                Ok(Err(error)) => return AttemptEnd::Failed(error),
-                Err(_) => return AttemptEnd::Failed(stalled(stall)),
+                Ok(Ok(EngineEvent::Done { usage })) => return AttemptOutcome::Done(usage),
+                Ok(Err(error)) => return AttemptOutcome::Failed(error),
+                Err(_) => return AttemptOutcome::Failed(stall_error(stall)),
             }
         }
     }
 
-    /// The attempt's name at the engine. Callers choose their request ids freely, so those of two
-    /// programs may be equal; cancelling one call would stop the other.
+    /// Unique per attempt: callers choose request ids, so two programs may use the same one, and
+    /// cancelling one call would also cancel the other.
     fn attempt_id(&self, reservation: &Reservation) -> RequestId {
         let (program, number) = (self.context.request.program, self.context.request.number);
         let Reservation { incarnation: epoch, attempt, .. } = reservation;
         format!("{program:016x}-{number}-{epoch}-{attempt}").into()
     }
 
-    /// Settles a failed attempt: at once if no byte of it reached the engine, else when the engine
-    /// has told what it cost.
+    /// Settles a failed attempt: immediately if no byte of it reached the engine, otherwise in the
+    /// background when the engine has reported its cost.
     fn settle_failed(
         &mut self,
         reservation: Reservation,
         permit: &EnginePermit,
         error: &UpstreamError,
     ) {
-        if !self.opened && matches!(error, UpstreamError::NotSent | UpstreamError::Refused { .. }) {
+        if !self.accepted && matches!(error, UpstreamError::NotSent | UpstreamError::Refused { .. })
+        {
             self.node.settle(reservation, 0);
             return;
         }
-        self.sent = true;
+        self.maybe_sent = true;
         let program = self.context.request.program;
         let upstream = permit.engine().clone();
-        // The engine may hold memory from now on; what it cost follows when it is known.
-        let holder = JournalRecord::Spent { program, tokens: 0, upstream: upstream.clone() };
-        self.records.push(holder);
+        // The engine may now cache the prefix; `record_spent` adds the cost.
+        let unpriced = JournalRecord::Spent { program, tokens: 0, upstream: upstream.clone() };
+        self.failed_costs.push(unpriced);
         let (address, request_id) = (permit.address().into(), self.attempt_id(&reservation));
         let node = self.node.clone();
         actix_rt::spawn(async move {
-            let epoch = reservation.incarnation;
-            let tokens = node.settle_sent(reservation, address, request_id).await;
-            node.record_spent(epoch, program, tokens, upstream).await;
+            let incarnation = reservation.incarnation;
+            let tokens = node.cancel_and_settle(reservation, address, request_id).await;
+            node.record_spent(incarnation, program, tokens, upstream).await;
         });
     }
 
-    fn answered(self, engine: UpstreamId, usage: TokenUsage) -> CallConclusion {
+    fn into_answer(self, engine: UpstreamId, usage: TokenUsage) -> CallConclusion {
         let text: Box<str> = (*self.call.text()).into();
         let context = self.context;
         let key = PrefixKey::Program(context.request.program);
@@ -319,26 +322,25 @@
         self.node.prefix_computed(&engine, shared, context.shared_tokens());
         self.node.metrics.prompt_tokens(usage);
         let mut conclusion = CallConclusion::answered(CallAnswer { text, upstream: engine, usage });
-        conclusion.records = self.records;
+        conclusion.records = self.failed_costs;
         conclusion
     }
 
-    fn give_up(self, refusal: CallRefusal) -> CallConclusion {
-        let outcome = if self.sent {
+    fn into_failure(self, refusal: CallRefusal) -> CallConclusion {
+        let outcome = if self.maybe_sent {
             let message = "no engine finished the call; the same request id may be sent again";
             CallOutcome::Unknown(UnknownCall { message: message.into(), retryable: true })
         } else {
             CallOutcome::NotRun(refusal)
         };
-        CallConclusion { outcome, records: self.records, is_turn: false }
+        CallConclusion { outcome, records: self.failed_costs, is_turn: false }
     }
 }
 
-fn stalled(limit: Duration) -> UpstreamError {
+fn stall_error(limit: Duration) -> UpstreamError {
     UpstreamError::Lost { message: format!("no progress for {} ms", limit.as_millis()).into() }
 }
 
-/// Time left until a deadline.
 pub(crate) fn time_left(deadline: Instant) -> Duration {
     deadline.saturating_duration_since(Instant::now())
 }
