--- a/src/node/calls/mod.rs
+++ b/src/node/calls/mod.rs
@@ -1,4 +1,4 @@
-//! Calls under way: from their admission to their final outcome.
+//! Handles calls from admission to their final outcome.
 
 mod context;
 mod durability;
@@ -20,7 +20,6 @@
 pub(crate) use model::time_left;
 pub(crate) use route::ProgramRoute;
 
-/// A call as its caller issues it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallRequest {
     pub program: ProgramId,
@@ -28,12 +27,12 @@
     pub request_id: RequestId,
     pub input: Box<str>,
     pub target: CallTarget,
-    /// Longest time to wait for an upstream; the setting's value if absent.
+    /// Limits the wait for an upstream; `limits.call_deadline_ms` if absent.
     pub deadline: Option<Duration>,
 }
 
 impl CallRequest {
-    /// What makes another submission the same call.
+    /// Submissions with equal keys are the same call.
     pub(crate) fn key(&self) -> CallKey {
         CallKey {
             number: self.number,
@@ -44,7 +43,6 @@
     }
 }
 
-/// Where a call goes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum CallTarget {
@@ -52,14 +50,13 @@
     Model { max_tokens: u32 },
     Service {
         service: Box<str>,
-        /// Whether running it twice does no harm. Assumed not, unless the caller says so.
         #[serde(default)]
         idempotent: bool,
     },
 }
 
 impl CallTarget {
-    /// The target's name in a history.
+    /// The name is stored in histories.
     pub(crate) fn name(&self) -> TargetName {
         match self {
             Self::Model { .. } => "model".into(),
