--- a/src/node/callers/body.rs
+++ b/src/node/callers/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of callers' requests and answers.
+//! Request and response bodies of the callers' HTTP interface.
 
 use std::time::Duration;
 
@@ -8,7 +8,6 @@
 use crate::core::outcome::CallRefusal;
 use crate::node::calls::{CallRequest, CallTarget};
 
-/// Body of a call.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct CallBody {
     pub(crate) number: CallNumber,
@@ -43,7 +42,6 @@
     }
 }
 
-/// Body of a start.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct StartBody {
@@ -51,28 +49,25 @@
     pub(crate) definition: Box<str>,
     #[serde(default)]
     pub(crate) start_key: Option<Box<str>>,
-    /// Id of the program whose sub-agent this one is.
+    /// Program id; makes the started program its sub-agent.
     #[serde(default)]
     pub(crate) parent: Option<Box<str>>,
 }
 
-/// Answer to a start.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct StartedBody {
     pub(crate) program: Box<str>,
-    /// Where calls of this program are served without a detour.
+    /// Serves calls of this program without forwarding them.
     pub(crate) address: Box<str>,
 }
 
-/// Addresses to connect to.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct AddressesBody {
     pub(crate) addresses: Vec<Box<str>>,
-    /// How long the list may be kept.
+    /// Maximum age of the list at the client.
     pub(crate) keep_seconds: u32,
 }
 
-/// A refusal with a text for people.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct RefusalBody<'a> {
     pub(crate) outcome: &'static str,
@@ -81,7 +76,6 @@
     pub(crate) message: Box<str>,
 }
 
-/// Answer to an end.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct EndedBody {
     pub(crate) ended: bool,
