--- a/src/node/callers/mod.rs
+++ b/src/node/callers/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' HTTP interface; docs/CALLERS.md describes it with examples.
+//! The callers' HTTP interface, described in docs/CALLERS.md.
 
 mod body;
 mod routes;
@@ -14,7 +14,7 @@
 
 /// Serves callers until its task is dropped.
 pub async fn serve_callers(node: Rc<Node>, listener: TcpListener) {
-    let max_body = node.settings.limits.max_body_bytes;
-    let route = handler(move |request| routes::route(node.clone(), request));
-    serve_http(listener, max_body, route).await;
+    let max_body_bytes = node.settings.limits.max_body_bytes;
+    let handle_request = handler(move |request| routes::handle_request(node.clone(), request));
+    serve_http(listener, max_body_bytes, handle_request).await;
 }
--- a/src/node/callers/routes.rs
+++ b/src/node/callers/routes.rs
@@ -1,4 +1,4 @@
-//! From paths to the node and back.
+//! Routes callers' HTTP requests to the node and streams its answers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,29 +23,28 @@
 };
 use crate::util::lines::json_line;
 
-/// A stream that has nothing to say says so this often.
-const WAITING_INTERVAL: Duration = Duration::from_secs(1);
-const REQUEST_ID_MAX: usize = 128;
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const MAX_REQUEST_ID_BYTES: usize = 128;
 
-pub(super) async fn route(node: Rc<Node>, request: HttpRequest) -> HttpResponse {
+pub(super) async fn handle_request(node: Rc<Node>, request: HttpRequest) -> HttpResponse {
     let _open = node.open_request();
     let path = request.path.clone();
-    let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
+    let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
     let answer: Result<HttpResponse, RequestFailure> =
-        match (request.method.clone(), parts.as_slice()) {
-            (Method::GET, ["v1", "addresses"]) => Ok(addresses(&node)),
+        match (request.method.clone(), segments.as_slice()) {
+            (Method::GET, ["v1", "addresses"]) => Ok(addresses_response(&node)),
             (Method::GET, ["healthz"]) => Ok(json_response(StatusCode::OK, &"ok")),
-            (Method::GET, ["metrics"]) => Ok(metrics(&node)),
-            (Method::POST, ["v1", "programs"]) => start(&node, &request).await,
+            (Method::GET, ["metrics"]) => Ok(metrics_response(&node)),
+            (Method::POST, ["v1", "programs"]) => start_program(&node, &request).await,
             (Method::GET, ["v1", "programs", id]) => {
-                show(&node, id, &request).await.map_err(Into::into)
+                show_program(&node, id, &request).await.map_err(Into::into)
             }
-            (Method::DELETE, ["v1", "programs", id]) => end(&node, id, &request).await,
+            (Method::DELETE, ["v1", "programs", id]) => end_program(&node, id, &request).await,
             (Method::POST, ["v1", "programs", id, "calls"]) => {
-                call(&node, id, &request).await.map_err(Into::into)
+                submit_call(&node, id, &request).await.map_err(Into::into)
             }
             (Method::GET, ["v1", "programs", id, "calls", number]) => {
-                follow(&node, id, number, &request).await.map_err(Into::into)
+                follow_call(&node, id, number, &request).await.map_err(Into::into)
             }
             _ => return text_response(StatusCode::NOT_FOUND, "there is no such path or method"),
         };
@@ -60,24 +59,27 @@
     })
 }
 
-fn addresses(node: &Node) -> HttpResponse {
+fn addresses_response(node: &Node) -> HttpResponse {
     let members = node.members.borrow();
     let mut addresses: Vec<_> =
         members.serving().map(|member| member.http_address.clone()).collect();
-    // Callers begin with the first one.
+    // Callers try the addresses in order, so a shuffle spreads the load.
     addresses.shuffle(&mut rand::rng());
     let keep_seconds = node.settings.limits.address_keep_seconds;
     json_response(StatusCode::OK, &AddressesBody { addresses, keep_seconds })
 }
 
-fn metrics(node: &Node) -> HttpResponse {
+fn metrics_response(node: &Node) -> HttpResponse {
     node.sample_metrics();
     let text = node.metrics.exposition();
     body_response(StatusCode::OK, "text/plain; version=0.0.4", text.into())
 }
 
-async fn start(node: &Rc<Node>, request: &HttpRequest) -> Result<HttpResponse, RequestFailure> {
-    let body: StartBody = parse(request)?;
+async fn start_program(
+    node: &Rc<Node>,
+    request: &HttpRequest,
+) -> Result<HttpResponse, RequestFailure> {
+    let body: StartBody = parse_body(request)?;
     let parent = body.parent.as_deref().map(program_id).transpose()?;
     let start = StartRequest {
         workspace: body.workspace,
@@ -90,7 +92,7 @@
     Ok(json_response(StatusCode::CREATED, &StartedBody { program, address }))
 }
 
-async fn show(
+async fn show_program(
     node: &Rc<Node>,
     id: &str,
     request: &HttpRequest,
@@ -104,7 +106,7 @@
     Ok(body_response(StatusCode::OK, "application/json", String::from(text).into()))
 }
 
-async fn end(
+async fn end_program(
     node: &Rc<Node>,
     id: &str,
     request: &HttpRequest,
@@ -118,23 +120,23 @@
     Ok(json_response(StatusCode::OK, &EndedBody { ended: true }))
 }
 
-async fn call(
+async fn submit_call(
     node: &Rc<Node>,
     id: &str,
     request: &HttpRequest,
 ) -> Result<HttpResponse, CallRefusal> {
     let program = program_id(id)?;
-    let body: CallBody = parse(request)?;
+    let body: CallBody = parse_body(request)?;
     check_call(&body)?;
     let (submitting, call, forwarded) =
         (node.clone(), body.into_request(program), request.forwarded);
     let submission = Box::pin(async move {
         if forwarded { submitting.submit_here(call).await } else { submitting.submit(call).await }
     });
-    stream(node, CallSource::Submitted(submission), 0).await
+    stream_response(node, CallSource::Submitted(submission), 0).await
 }
 
-async fn follow(
+async fn follow_call(
     node: &Rc<Node>,
     id: &str,
     number: &str,
@@ -151,17 +153,15 @@
     } else {
         node.follow(program, number).await?
     };
-    stream(node, CallSource::Known(call), offset).await
+    stream_response(node, CallSource::Admitted(call), offset).await
 }
 
-/// Where the events of a stream come from.
 enum CallSource {
-    /// The call still waits for its shard or for an earlier call.
+    /// The call waits for its shard or for an earlier call.
     Submitted(LocalBoxFuture<'static, Result<Rc<LiveCall>, CallRefusal>>),
-    Known(Rc<LiveCall>),
+    Admitted(Rc<LiveCall>),
 }
 
-/// The events of one call for one follower.
 struct CallStream {
     source: CallSource,
     offset: usize,
@@ -169,20 +169,21 @@
 }
 
 impl CallStream {
-    /// The next event, at the latest after the interval at which followers hear something.
     async fn next(&mut self) -> CallEvent {
-        let event = timeout(WAITING_INTERVAL, self.advance()).await;
+        let event = timeout(KEEPALIVE_INTERVAL, self.advance()).await;
         event.unwrap_or(CallEvent::Waiting)
     }
 
     async fn advance(&mut self) -> CallEvent {
         if let CallSource::Submitted(submission) = &mut self.source {
             match submission.await {
-                Ok(call) => self.source = CallSource::Known(call),
+                Ok(call) => self.source = CallSource::Admitted(call),
                 Err(refusal) => return CallEvent::Final(CallOutcome::NotRun(refusal)),
             }
         }
-        let CallSource::Known(call) = &self.source else { unreachable!("it was set above") };
+        let CallSource::Admitted(call) = &self.source else {
+            unreachable!("the submission was awaited")
+        };
         let event = call.next(self.offset).await;
         if let CallEvent::Tokens { offset, text } = &event {
             self.offset = offset + text.len();
@@ -191,10 +192,10 @@
     }
 }
 
-/// Answers with the events of a call. One that is refused before anything of it was streamed is
-/// answered with the refusal's own status. One that waits is told so: its caller, or the instance
-/// that carries it, would else take the connection for dead.
-async fn stream(
+/// Streams the events of a call. A refusal that comes as the first event is returned with its own
+/// HTTP status. Keepalives show the caller or the forwarding instance that the connection is
+/// alive.
+async fn stream_response(
     node: &Rc<Node>,
     source: CallSource,
     offset: usize,
@@ -210,18 +211,18 @@
             Some(event) => event,
             None => call.next().await,
         };
-        let last = matches!(event, CallEvent::Final(_));
-        Some((json_line(&event), (!last).then_some((call, None))))
+        let is_final = matches!(event, CallEvent::Final(_));
+        Some((json_line(&event), (!is_final).then_some((call, None))))
     });
     Ok(line_response(Box::pin(lines), Some(&node.settings.http_address)))
 }
 
-fn parse<T: DeserializeOwned>(request: &HttpRequest) -> Result<T, CallRefusal> {
+fn parse_body<T: DeserializeOwned>(request: &HttpRequest) -> Result<T, CallRefusal> {
     serde_json::from_slice(&request.body).map_err(|error| malformed(&error.to_string()))
 }
 
 fn check_call(body: &CallBody) -> Result<(), CallRefusal> {
-    if body.request_id.is_empty() || body.request_id.len() > REQUEST_ID_MAX {
+    if body.request_id.is_empty() || body.request_id.len() > MAX_REQUEST_ID_BYTES {
         return Err(malformed("request_id must have 1 to 128 bytes"));
     }
     if body.number == 0 {
@@ -244,9 +245,9 @@
 fn refusal_response(refusal: &CallRefusal) -> HttpResponse {
     let message = refusal.reason.to_string().into();
     let body = RefusalBody { outcome: "not_run", refusal, message };
-    let mut response = json_response(status(&refusal.reason), &body);
-    if let Some(wait) = refusal.retry_after {
-        let seconds = wait.as_millis().div_ceil(1000).to_string();
+    let mut response = json_response(status_code(&refusal.reason), &body);
+    if let Some(delay) = refusal.retry_after {
+        let seconds = delay.as_millis().div_ceil(1000).to_string();
         if let Ok(value) = seconds.parse() {
             response.headers_mut().insert(actix_http::header::RETRY_AFTER, value);
         }
@@ -254,7 +255,7 @@
     response
 }
 
-fn status(reason: &RefusalReason) -> StatusCode {
+fn status_code(reason: &RefusalReason) -> StatusCode {
     match reason {
         RefusalReason::Malformed { .. } => StatusCode::BAD_REQUEST,
         RefusalReason::UnknownProgram
@@ -273,7 +274,7 @@
     }
 }
 
-/// The reason's name in metrics, as in the JSON form.
+/// Metric label; must equal the reason's name in JSON.
 fn reason_name(reason: &RefusalReason) -> &'static str {
     match reason {
         RefusalReason::Malformed { .. } => "malformed",
