--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -1,5 +1,5 @@
-//! Non-idempotent calls run at most once, whatever dies and whoever else believes to own them.
-//! The stand-in service counts executions by request and is the judge.
+//! Non-idempotent calls run at most once while owners crash or are fenced. The stand-in service
+//! counts executions by request.
 
 mod support;
 
@@ -17,23 +17,22 @@
 };
 use tokio::time::sleep;
 
-/// Where in a booking's way its owner is hit.
+/// Point of a booking at which its owner fails.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum HitPoint {
-    /// The intent is not written.
+enum FaultPoint {
     BeforeIntent,
-    /// The intent's write took effect; no reply to it ever came.
+    /// The intent is stored, but the write's reply is lost.
     IntentReplyLost,
     BeforeSend,
-    /// The service has run it and its answer is under way.
+    /// The service has run the call, but its answer has not arrived.
     BeforeAnswer,
-    /// The answer is there, its turn is not written.
+    /// The answer has arrived, but the turn is not stored.
     BeforeCommit,
-    /// The turn's write took effect; no reply to it ever came.
+    /// The turn is stored, but the write's reply is lost.
     CommitReplyLost,
 }
 
-async fn start() -> (Rc<TestCluster>, Rc<ProgramRecorder>) {
+async fn start_cluster() -> (Rc<TestCluster>, Rc<ProgramRecorder>) {
     let cluster = TestCluster::start(3).await;
     cluster.workspace("w", ServiceClass::Paying, 1_000_000).await;
     let recorder = ProgramRecorder::new(cluster.start_program(0, "w").await);
@@ -45,39 +44,43 @@
     cluster.service.executions().values().sum()
 }
 
-/// Submits a booking at its owner, instance 0, and waits until it has come to the point.
-async fn submit_until(cluster: &Rc<TestCluster>, recorder: &Rc<ProgramRecorder>, point: HitPoint) {
+/// Submits a booking to its owner, instance 0, and waits until it reaches `fault_point`.
+async fn submit_until(
+    cluster: &Rc<TestCluster>,
+    recorder: &Rc<ProgramRecorder>,
+    fault_point: FaultPoint,
+) {
     let gates = cluster.gates(0);
     let slow = FaultSettings { delay_ms: 500, ..FaultSettings::default() };
-    match point {
-        HitPoint::BeforeIntent => gates.platform.set(outage()),
-        HitPoint::IntentReplyLost => gates.platform.set(lose_replies(u32::MAX)),
-        HitPoint::BeforeSend => gates.services.set(slow),
-        HitPoint::BeforeAnswer | HitPoint::BeforeCommit | HitPoint::CommitReplyLost => {}
+    match fault_point {
+        FaultPoint::BeforeIntent => gates.platform.set(outage()),
+        FaultPoint::IntentReplyLost => gates.platform.set(lose_replies(u32::MAX)),
+        FaultPoint::BeforeSend => gates.services.set(slow),
+        FaultPoint::BeforeAnswer | FaultPoint::BeforeCommit | FaultPoint::CommitReplyLost => {}
     }
     let (submitting, recorded) = (cluster.clone(), recorder.clone());
     actix_rt::spawn(async move {
         let request = booking(recorded.program, 2, "milk");
         recorded.attempt(&submitting, 0, &request).await;
     });
-    match point {
-        HitPoint::BeforeIntent => sleep(Duration::from_millis(500)).await,
-        HitPoint::IntentReplyLost | HitPoint::BeforeSend => {
+    match fault_point {
+        FaultPoint::BeforeIntent => sleep(Duration::from_millis(500)).await,
+        FaultPoint::IntentReplyLost | FaultPoint::BeforeSend => {
             wait_until(|| cluster.journal_has("intended")).await;
         }
         _ => wait_until(|| executions(cluster) == 1).await,
     }
-    match point {
-        HitPoint::BeforeAnswer => gates.services.set(silence()),
-        HitPoint::BeforeCommit => gates.platform.set(outage()),
-        HitPoint::CommitReplyLost => gates.platform.set(lose_replies(u32::MAX)),
+    match fault_point {
+        FaultPoint::BeforeAnswer => gates.services.set(silence()),
+        FaultPoint::BeforeCommit => gates.platform.set(outage()),
+        FaultPoint::CommitReplyLost => gates.platform.set(lose_replies(u32::MAX)),
         _ => {}
     }
-    let answered = [HitPoint::BeforeCommit, HitPoint::CommitReplyLost].contains(&point);
+    let answered = [FaultPoint::BeforeCommit, FaultPoint::CommitReplyLost].contains(&fault_point);
     sleep(Duration::from_millis(if answered { 2 * SERVICE_MILLIS } else { 100 })).await;
 }
 
-fn name(outcome: &CallOutcome) -> &'static str {
+fn outcome_name(outcome: &CallOutcome) -> &'static str {
     match outcome {
         CallOutcome::Answered(_) => "answered",
         CallOutcome::NotRun(_) => "not run",
@@ -85,58 +88,57 @@
     }
 }
 
-/// A booking's owner is killed at some point of its way. The caller submits the same request
-/// again elsewhere until it has a final word. Where the intent was not written the booking runs
-/// now; where its turn was written the turn is repeated; in between it is unknown for good, for
-/// nobody can tell whether the service got it, and it is never sent again.
+/// Guards against a retry that resends a booking whose intent is stored, and against one that loses
+/// a stored turn.
 #[rstest]
-#[case(HitPoint::BeforeIntent, "answered", 1)]
-#[case(HitPoint::IntentReplyLost, "unknown", 0)]
-#[case(HitPoint::BeforeSend, "unknown", 0)]
-#[case(HitPoint::BeforeAnswer, "unknown", 1)]
-#[case(HitPoint::BeforeCommit, "unknown", 1)]
-#[case(HitPoint::CommitReplyLost, "answered", 1)]
-fn a_booking_survives_a_kill_of_its_owner(
-    #[case] point: HitPoint,
+#[case(FaultPoint::BeforeIntent, "answered", 1)]
+#[case(FaultPoint::IntentReplyLost, "unknown", 0)]
+#[case(FaultPoint::BeforeSend, "unknown", 0)]
+#[case(FaultPoint::BeforeAnswer, "unknown", 1)]
+#[case(FaultPoint::BeforeCommit, "unknown", 1)]
+#[case(FaultPoint::CommitReplyLost, "answered", 1)]
+fn retried_booking_runs_at_most_once_after_a_crash_of_its_owner(
+    #[case] fault_point: FaultPoint,
     #[case] expected: &str,
     #[case] runs: u32,
 ) {
     run_paused(async move {
-        let (cluster, recorder) = start().await;
-        submit_until(&cluster, &recorder, point).await;
+        let (cluster, recorder) = start_cluster().await;
+        submit_until(&cluster, &recorder, fault_point).await;
         cluster.kill(0);
         let last = recorder.insist(&cluster, booking(recorder.program, 2, "milk")).await;
-        assert_eq!((name(&last), executions(&cluster)), (expected, runs));
+        assert_eq!((outcome_name(&last), executions(&cluster)), (expected, runs));
         recorder.insist(&cluster, model_call(recorder.program, 3, "more")).await;
         sleep(Duration::from_secs(10)).await;
-        assert_eq!(executions(&cluster), runs, "it ran later");
+        assert_eq!(executions(&cluster), runs, "the booking ran after its outcome was final");
         recorder.check(&cluster).await;
     });
 }
 
-/// The owner is not killed but frozen: its links hang and it still believes it owns the program.
-/// Another instance takes over and settles the booking. Then the old owner wakes and goes on
-/// where it was. What it may still send is at most the one attempt that its durable intent
-/// covers, and the new owner has written that intent off.
+/// Guards against a second execution by a paused owner that resumes after a takeover. It may still
+/// send the one attempt of its stored intent, which the new owner has recorded as unknown.
 #[rstest]
-#[case(HitPoint::BeforeIntent, "answered")]
-#[case(HitPoint::IntentReplyLost, "unknown")]
-#[case(HitPoint::BeforeSend, "unknown")]
-#[case(HitPoint::BeforeAnswer, "unknown")]
-#[case(HitPoint::BeforeCommit, "unknown")]
-#[case(HitPoint::CommitReplyLost, "answered")]
-fn two_owners_run_a_booking_at_most_once(#[case] point: HitPoint, #[case] expected: &str) {
+#[case(FaultPoint::BeforeIntent, "answered")]
+#[case(FaultPoint::IntentReplyLost, "unknown")]
+#[case(FaultPoint::BeforeSend, "unknown")]
+#[case(FaultPoint::BeforeAnswer, "unknown")]
+#[case(FaultPoint::BeforeCommit, "unknown")]
+#[case(FaultPoint::CommitReplyLost, "answered")]
+fn booking_runs_at_most_once_when_a_fenced_owner_resumes(
+    #[case] fault_point: FaultPoint,
+    #[case] expected: &str,
+) {
     run_paused(async move {
-        let (cluster, recorder) = start().await;
-        submit_until(&cluster, &recorder, point).await;
+        let (cluster, recorder) = start_cluster().await;
+        submit_until(&cluster, &recorder, fault_point).await;
         cluster.freeze(0);
         wait_until(|| cluster.owner_of(recorder.program) != Some(0)).await;
         let request = booking(recorder.program, 2, "milk");
-        let elsewhere = cluster.owner_of(recorder.program).expect("somebody owns it");
-        wait_until(|| cluster.serves(elsewhere, recorder.program)).await;
-        let last = recorder.attempt(&cluster, elsewhere, &request).await;
+        let new_owner = cluster.owner_of(recorder.program).expect("the program has an owner");
+        wait_until(|| cluster.serves(new_owner, recorder.program)).await;
+        let last = recorder.attempt(&cluster, new_owner, &request).await;
         let AttemptResult::Outcome(last) = last else { panic!("{last:?}") };
-        assert_eq!(name(&last), expected);
+        assert_eq!(outcome_name(&last), expected);
         cluster.thaw(0);
         recorder.attempt(&cluster, 0, &request).await;
         sleep(Duration::from_secs(10)).await;
@@ -147,13 +149,12 @@
     });
 }
 
-/// The write of a program's end takes effect, but the owner never hears so and freezes. The next
-/// owner reads it, checkpoints, and deletes the old owner's rows. The old owner wakes and tries
-/// its write again: all it sees is the fence. It must not say "not run", for the end stands.
+/// The reply to a stored write is lost and the next owner deletes its row after a checkpoint. The
+/// fenced owner, on retrying the write, must not conclude that it was not run.
 #[test]
-fn an_open_write_is_not_called_not_run_when_its_row_is_gone() {
+fn end_is_unknown_when_the_row_of_its_unacknowledged_write_is_deleted() {
     run_paused(async {
-        let (cluster, recorder) = start().await;
+        let (cluster, recorder) = start_cluster().await;
         let old = cluster.node(0).member_list()[0].incarnation;
         cluster.gates(0).platform.set(lose_replies(u32::MAX));
         let (node, program) = (cluster.node(0), recorder.program);
@@ -163,26 +164,26 @@
         let row = format!("incarnation/{old:012}");
         wait_until(|| cluster.platform.peek(&row).is_none()).await;
         cluster.thaw(0);
-        let told = ending.await.expect("it does not panic");
-        assert!(matches!(told, Err(RequestFailure::Unknown(_))), "{told:?}");
+        let result = ending.await.expect("the task does not panic");
+        assert!(matches!(result, Err(RequestFailure::Unknown(_))), "{result:?}");
     });
 }
 
-/// The service takes the booking and never answers. The caller is told that it is unknown, the
-/// same request again says the same without sending anything, and the program goes on.
+/// Guards against resending a call whose outcome is unknown, and against a program that can't
+/// continue after one.
 #[test]
-fn a_hung_service_leaves_one_execution_and_an_unknown_outcome() {
+fn hung_service_gives_one_execution_and_an_unknown_outcome() {
     run_paused(async {
-        let (cluster, recorder) = start().await;
+        let (cluster, recorder) = start_cluster().await;
         let request = booking(recorder.program, 2, "milk");
-        let hang = cluster.clone();
+        let hung_cluster = cluster.clone();
         let hanging = async {
-            wait_until(|| executions(&hang) == 1).await;
-            hang.service.faults.set(silence());
+            wait_until(|| executions(&hung_cluster) == 1).await;
+            hung_cluster.service.faults.set(silence());
         };
         let submitted = recorder.insist(&cluster, request.clone());
         let (first, ()) = futures_util::future::join(submitted, hanging).await;
-        assert_eq!(name(&first), "unknown");
+        assert_eq!(outcome_name(&first), "unknown");
         cluster.service.faults.set(FaultSettings::default());
         assert_eq!(recorder.insist(&cluster, request).await, first);
         recorder.insist(&cluster, booking(recorder.program, 3, "bread")).await;
@@ -191,15 +192,18 @@
     });
 }
 
-/// The service cannot be reached: no byte leaves, the intent is withdrawn, and the caller hears
-/// "not run". The owner dies right after that, and the same request runs at the next one. If the
-/// owner dies before the withdrawal is written, the intent stands and the request is unknown.
+/// A booking that could not be sent runs on the next owner only if its intent was withdrawn before
+/// the crash; otherwise it stays unknown.
 #[rstest]
 #[case::withdrawn(false, "answered", 1)]
 #[case::not_withdrawn(true, "unknown", 0)]
-fn a_booking_that_could_not_be_sent(#[case] kill: bool, #[case] expected: &str, #[case] runs: u32) {
+fn unsent_booking_runs_after_a_crash_only_if_withdrawn(
+    #[case] kill: bool,
+    #[case] expected: &str,
+    #[case] runs: u32,
+) {
     run_paused(async move {
-        let (cluster, recorder) = start().await;
+        let (cluster, recorder) = start_cluster().await;
         let gates = cluster.gates(0);
         gates.services.set(FaultSettings { delay_ms: 300, ..outage() });
         let request = booking(recorder.program, 2, "milk");
@@ -214,11 +218,11 @@
         } else {
             let first = recorder.attempt(&cluster, 0, &request).await;
             let AttemptResult::Outcome(first) = first else { panic!("{first:?}") };
-            assert_eq!(name(&first), "not run");
+            assert_eq!(outcome_name(&first), "not run");
             cluster.kill(0);
         }
         let last = recorder.insist(&cluster, request).await;
-        assert_eq!((name(&last), executions(&cluster)), (expected, runs));
+        assert_eq!((outcome_name(&last), executions(&cluster)), (expected, runs));
         recorder.check(&cluster).await;
     });
 }
