--- a/tests/callers.rs
+++ b/tests/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' HTTP interface on real sockets: bad input gets a typed answer and changes nothing.
+//! The callers' HTTP interface on real sockets.
 
 mod workdir;
 
@@ -9,27 +9,26 @@
 use serde_json::{Value, json};
 use workdir::Deployment;
 
-/// An answer's status and body.
 #[derive(Debug)]
-struct Answer {
+struct HttpAnswer {
     status: u16,
     head: String,
     body: String,
 }
 
-impl Answer {
+impl HttpAnswer {
     fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or_else(|error| panic!("{error}: {self:?}"))
     }
 
-    /// The events of a stream; each comes in a chunk of its own.
+    /// Skips the lines of the chunked encoding.
     fn events(&self) -> Vec<Value> {
         let lines = self.body.lines().filter(|line| line.starts_with('{'));
         lines.map(|line| serde_json::from_str(line).expect("events are JSON")).collect()
     }
 }
 
-fn send(address: &str, method: &str, path: &str, body: &str) -> Answer {
+fn send(address: &str, method: &str, path: &str, body: &str) -> HttpAnswer {
     let mut stream = TcpStream::connect(address).expect("the instance listens");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a timeout can be set");
     let length = body.len();
@@ -42,25 +41,29 @@
     stream.read_to_string(&mut text).expect("the answer ends");
     let (head, body) = text.split_once("\r\n\r\n").expect("the answer has a head");
     let status = head.split_whitespace().nth(1).expect("it has a status");
-    Answer { status: status.parse().expect("it is a number"), head: head.into(), body: body.into() }
+    HttpAnswer {
+        status: status.parse().expect("it is a number"),
+        head: head.into(),
+        body: body.into(),
+    }
 }
 
-/// A caller sends a body that is too large, and is still sending when the instance has seen enough. It
-/// must get its answer: if the instance closed at once, the caller would see a reset instead.
+/// Guards against closing the connection before the body is read: the caller would get a reset
+/// instead of the refusal.
 #[test]
-fn a_caller_that_is_still_sending_gets_its_refusal() {
-    const PIECE: usize = 1024 * 1024;
+fn oversized_body_is_refused_while_it_is_still_sent() {
+    const CHUNK_BYTES: usize = 1024 * 1024;
     let deployment = Deployment::start("large_body", 1);
     let address = deployment.http_address();
     let mut stream = TcpStream::connect(&address).expect("the instance listens");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a timeout can be set");
-    let length = 6 * PIECE;
+    let length = 6 * CHUNK_BYTES;
     let head = format!(
         "POST /v1/programs HTTP/1.0\r\nhost: {address}\r\ncontent-length: {length}\r\n\r\n"
     );
     stream.write_all(head.as_bytes()).expect("the head is sent");
     for _ in 0..6 {
-        stream.write_all(&[b'x'; PIECE]).expect("a piece is sent");
+        stream.write_all(&[b'x'; CHUNK_BYTES]).expect("the chunk is sent");
         std::thread::sleep(Duration::from_millis(50));
     }
     let mut text = String::new();
@@ -69,7 +72,7 @@
 }
 
 #[test]
-fn bad_input_is_told_and_changes_nothing() {
+fn invalid_requests_are_refused_without_changing_the_program() {
     let deployment = Deployment::start("bad_input", 1);
     let address = deployment.http_address();
     let create = ["workspace", "create", "studio", "--class", "paying", "--budget", "100000"];
@@ -124,9 +127,9 @@
     assert!(first.head.contains("x-merlinsaddle-owner"), "{first:?}");
     let last = first.events().pop().expect("there is a final event");
     assert_eq!((&last["event"], &last["outcome"]), (&json!("final"), &json!("answered")));
-    let other = send(&address, "POST", &calls, &call(1, "pepper?"));
-    assert_eq!((other.status, &other.json()["reason"]), (409, &json!("request_reused")));
+    let reused = send(&address, "POST", &calls, &call(1, "pepper?"));
+    assert_eq!((reused.status, &reused.json()["reason"]), (409, &json!("request_reused")));
     let text = last["text"].as_str().expect("the answer has a text");
-    let rest = send(&address, "GET", &format!("{calls}/1?offset=6"), "");
-    assert_eq!(rest.events()[0]["text"], text[6..]);
+    let remainder = send(&address, "GET", &format!("{calls}/1?offset=6"), "");
+    assert_eq!(remainder.events()[0]["text"], text[6..]);
 }
