--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path of a request: workspace, program, calls, history, end.
+//! A program's lifecycle across instances: start, calls, history, end.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 #[test]
-fn a_program_runs_from_start_to_end() {
+fn program_runs_through_any_instance_until_it_ends() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 100_000).await;
@@ -32,20 +32,20 @@
             "more".into(),
         ];
         assert_eq!(answer_text(&third), expected_answer(&prompt, 20).concat());
-        let again = outcome(cluster.node(1).submit(booking(program, 2, "milk")).await).await;
-        assert_eq!(again, second);
+        let repeated = outcome(cluster.node(1).submit(booking(program, 2, "milk")).await).await;
+        assert_eq!(repeated, second);
         assert!(cluster.service.executions().values().all(|count| *count == 1));
-        let wrong = outcome(cluster.node(0).submit(model_call(program, 9, "x")).await).await;
-        let CallOutcome::NotRun(refusal) = wrong else { panic!("{wrong:?}") };
+        let skipped = outcome(cluster.node(0).submit(model_call(program, 9, "x")).await).await;
+        let CallOutcome::NotRun(refusal) = skipped else { panic!("{skipped:?}") };
         assert_eq!(refusal.reason, RefusalReason::WrongNumber { expected: 4 });
         assert!(cluster.engines.iter().any(|engine| !engine.held().is_empty()));
-        cluster.node(2).end_program(program).await.expect("it ends");
+        cluster.node(2).end_program(program).await.expect("the program ends");
         wait_until(|| cluster.engines.iter().all(|engine| engine.held().is_empty())).await;
     });
 }
 
 #[test]
-fn histories_survive_a_kill_of_the_owner() {
+fn history_survives_a_crash_of_the_owner() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 100_000).await;
@@ -54,8 +54,8 @@
         sleep(Duration::from_secs(1)).await;
         cluster.kill(0);
         cluster.settled().await;
-        let again = outcome(cluster.node(1).submit(model_call(program, 1, "one")).await).await;
-        assert_eq!(again, first);
+        let repeated = outcome(cluster.node(1).submit(model_call(program, 1, "one")).await).await;
+        assert_eq!(repeated, first);
         let second = outcome(cluster.node(2).submit(model_call(program, 2, "two")).await).await;
         answer_text(&second);
     });
