--- a/src/node/calls/route.rs
+++ b/src/node/calls/route.rs
@@ -79,7 +79,7 @@
     /// Confirms with the table that this instance has not been fenced.
     ///
     /// A partitioned or paused instance may not know that it was fenced, and its outdated state
-    /// would permanently refuse a valid call. Refusals that depend on history need this check first.
+    /// would permanently refuse a valid call. Answers that depend on history need this check first.
     pub(crate) async fn confirm_owner(&self, program: ProgramId) -> Result<(), CallRefusal> {
         let unfenced = self.confirm_unfenced().await;
         let unavailable = CallRefusal::retry(RefusalReason::StoreUnavailable, STALE_RETRY_DELAY);
