--- a/tests/callers.rs
+++ b/tests/callers.rs
@@ -10,13 +10,13 @@
 use workdir::Deployment;
 
 #[derive(Debug)]
-struct HttpAnswer {
+struct HttpResponse {
     status: u16,
     head: String,
     body: String,
 }
 
-impl HttpAnswer {
+impl HttpResponse {
     fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or_else(|error| panic!("{error}: {self:?}"))
     }
@@ -28,7 +28,7 @@
     }
 }
 
-fn send(address: &str, method: &str, path: &str, body: &str) -> HttpAnswer {
+fn send(address: &str, method: &str, path: &str, body: &str) -> HttpResponse {
     let mut stream = TcpStream::connect(address).expect("the instance listens");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a timeout can be set");
     let length = body.len();
@@ -38,11 +38,11 @@
     )
     .expect("the request is sent");
     let mut text = String::new();
-    stream.read_to_string(&mut text).expect("the answer ends");
-    let (head, body) = text.split_once("\r\n\r\n").expect("the answer has a head");
-    let status = head.split_whitespace().nth(1).expect("it has a status");
-    HttpAnswer {
-        status: status.parse().expect("it is a number"),
+    stream.read_to_string(&mut text).expect("the response ends");
+    let (head, body) = text.split_once("\r\n\r\n").expect("the response has a head");
+    let status = head.split_whitespace().nth(1).expect("the response has a status");
+    HttpResponse {
+        status: status.parse().expect("the status is a number"),
         head: head.into(),
         body: body.into(),
     }
@@ -67,7 +67,7 @@
         std::thread::sleep(Duration::from_millis(50));
     }
     let mut text = String::new();
-    stream.read_to_string(&mut text).expect("the answer ends");
+    stream.read_to_string(&mut text).expect("the response ends");
     assert!(text.starts_with("HTTP/1.0 413") || text.starts_with("HTTP/1.1 413"), "{text}");
 }
 
@@ -110,10 +110,10 @@
         ),
     ];
     for (method, path, body, status, reason) in refused {
-        let answer = send(&address, method, path, &body);
-        assert_eq!(answer.status, status, "{answer:?}");
-        assert_eq!(answer.json()["outcome"], "not_run", "{answer:?}");
-        assert_eq!(answer.json()["reason"], reason, "{answer:?}");
+        let response = send(&address, method, path, &body);
+        assert_eq!(response.status, status, "{response:?}");
+        assert_eq!(response.json()["outcome"], "not_run", "{response:?}");
+        assert_eq!(response.json()["reason"], reason, "{response:?}");
     }
     let large = send(&address, "POST", &calls, &"x".repeat(5 * 1024 * 1024));
     assert_eq!(large.status, 413, "{}", large.head);
