--- a/src/node/platform/http.rs
+++ b/src/node/platform/http.rs
@@ -1,4 +1,4 @@
-//! The platform's service over HTTP with JSON bodies.
+//! Platform client over HTTP with JSON bodies.
 
 use actix_http::Method;
 use async_trait::async_trait;
@@ -11,13 +11,11 @@
 };
 use crate::util::http_client::{HttpClient, HttpError};
 
-/// Body of a read of rows.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct ReadRequest {
     pub(crate) keys: Vec<RowKey>,
 }
 
-/// Body of a scan.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct ScanRequest {
     pub(crate) prefix: Box<str>,
@@ -25,7 +23,6 @@
     pub(crate) limit: usize,
 }
 
-/// Client of the platform's service.
 pub struct HttpPlatform {
     address: Box<str>,
     client: HttpClient,
@@ -36,7 +33,12 @@
         Self { address: address.into(), client: HttpClient::default() }
     }
 
-    async fn object(&self, method: Method, name: &str, body: Bytes) -> Result<Bytes, HttpError> {
+    async fn exchange_object(
+        &self,
+        method: Method,
+        name: &str,
+        body: Bytes,
+    ) -> Result<Bytes, HttpError> {
         let path = format!("/objects/{name}");
         self.client.exchange(method, &self.address, &path, body, STORE_TIMEOUT).await
     }
@@ -87,11 +89,11 @@
 #[async_trait(?Send)]
 impl ObjectStore for HttpPlatform {
     async fn put(&self, name: &str, body: Bytes) -> Result<(), StoreError> {
-        self.object(Method::PUT, name, body).await.map(drop).map_err(store_error)
+        self.exchange_object(Method::PUT, name, body).await.map(drop).map_err(store_error)
     }
 
     async fn get(&self, name: &str) -> Result<Option<Bytes>, StoreError> {
-        match self.object(Method::GET, name, Bytes::new()).await {
+        match self.exchange_object(Method::GET, name, Bytes::new()).await {
             Ok(body) => Ok(Some(body)),
             Err(HttpError::Status { status: NOT_FOUND, .. }) => Ok(None),
             Err(error) => Err(store_error(error)),
@@ -99,7 +101,10 @@
     }
 
     async fn delete(&self, name: &str) -> Result<(), StoreError> {
-        self.object(Method::DELETE, name, Bytes::new()).await.map(drop).map_err(store_error)
+        self.exchange_object(Method::DELETE, name, Bytes::new())
+            .await
+            .map(drop)
+            .map_err(store_error)
     }
 }
 
--- a/src/node/platform/mod.rs
+++ b/src/node/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's service as the system uses it: table, objects, and the roster of instances.
+//! Interfaces of the platform: a transactional table, an object store, and the roster.
 
 mod http;
 mod timed;
@@ -14,43 +14,40 @@
 pub(crate) use http::{ReadRequest, ScanRequest};
 pub(crate) use timed::TimedPlatform;
 
-/// An answer of the platform that takes longer is taken as lost.
+/// A reply that takes longer counts as lost.
 pub(crate) const STORE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Key of a row.
 pub type RowKey = Box<str>;
 
-/// A row and how often it has been written.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredRow {
-    /// 1 after the first write; rises by one with each write, a deletion included.
+    /// 1 after the first write; incremented by every write, including a deletion.
     pub version: u64,
     pub value: Box<str>,
 }
 
-/// A row with its key, as a scan gives it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyedRow {
     pub key: RowKey,
     pub row: StoredRow,
 }
 
-/// What must hold of a row for a transaction to take effect.
+/// Precondition of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowCheck {
     pub key: RowKey,
-    /// The version the row must have; 0 if it must not exist.
+    /// Expected version; 0 if the row must not exist.
     pub version: u64,
 }
 
-/// A write of a row, or its deletion.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowWrite {
     pub key: RowKey,
+    /// `None` deletes the row.
     pub value: Option<Box<str>>,
 }
 
-/// Writes that take effect together if all checks hold.
+/// Writes that are applied atomically if all checks hold.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableTransaction {
     pub checks: Vec<RowCheck>,
@@ -75,7 +72,6 @@
     }
 }
 
-/// The table's answer to a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CommitReply {
@@ -85,34 +81,31 @@
 }
 
 impl CommitReply {
-    /// Whether the row at `key` failed its check.
     pub fn conflicts_on(&self, key: &str) -> bool {
         matches!(self, Self::Conflict(keys) if keys.iter().any(|failed| &**failed == key))
     }
 }
 
-/// Why the platform did not answer.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum StoreError {
-    /// Nothing took effect.
+    /// The operation had no effect.
     #[display("the platform's service is unavailable")]
     Unavailable,
-    /// The reply was lost: a write may have taken effect.
+    /// A write may have taken effect.
     #[display("the platform's reply was lost")]
     ReplyLost,
     #[display("the platform's answer is malformed: {message}")]
     Malformed { message: Box<str> },
 }
 
-/// A transactional table.
 #[async_trait(?Send)]
 pub trait TableStore {
     async fn commit(&self, transaction: &TableTransaction) -> Result<CommitReply, StoreError>;
 
-    /// The rows at these keys, all as of one moment.
+    /// Reads all keys from one consistent snapshot.
     async fn read(&self, keys: &[RowKey]) -> Result<Vec<Option<StoredRow>>, StoreError>;
 
-    /// Up to `limit` rows whose keys start with `prefix` and follow `after`, in key order.
+    /// Returns up to `limit` rows in key order; `after` is exclusive.
     async fn scan(
         &self,
         prefix: &str,
@@ -121,7 +114,7 @@
     ) -> Result<Vec<KeyedRow>, StoreError>;
 }
 
-/// Immutable objects by name.
+/// A store of immutable objects.
 #[async_trait(?Send)]
 pub trait ObjectStore {
     async fn put(&self, name: &str, body: Bytes) -> Result<(), StoreError>;
@@ -129,17 +122,16 @@
     async fn delete(&self, name: &str) -> Result<(), StoreError>;
 }
 
-/// What an address in the roster is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RosterRole {
-    /// An instance of the system; its address is the one for gossip.
+    /// The address is the gossip address.
     Instance,
     Engine,
     Service,
 }
 
-/// One line of the platform's list, which lags behind what is really there.
+/// One roster entry. The roster may be stale.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterEntry {
     pub id: Box<str>,
@@ -150,26 +142,24 @@
     pub leaving: bool,
 }
 
-/// The platform's list of live and leaving instances.
+/// Lists live and leaving instances and upstreams.
 #[async_trait(?Send)]
 pub trait RosterSource {
     async fn list(&self) -> Result<Vec<RosterEntry>, StoreError>;
 }
 
-/// Reads a row's value.
 pub fn parse_row<T: for<'de> Deserialize<'de>>(row: &StoredRow) -> Result<T, StoreError> {
     serde_json::from_str(&row.value)
         .map_err(|error| StoreError::Malformed { message: error.to_string().into() })
 }
 
-/// Reads all rows below a prefix, page by page.
 pub async fn scan_all(table: &dyn TableStore, prefix: &str) -> Result<Vec<KeyedRow>, StoreError> {
-    const PAGE: usize = 1024;
+    const PAGE_SIZE: usize = 1024;
     let mut rows: Vec<KeyedRow> = Vec::new();
     loop {
         let after = rows.last().map(|row| row.key.clone());
-        let page = table.scan(prefix, after.as_deref(), PAGE).await?;
-        let last = page.len() < PAGE;
+        let page = table.scan(prefix, after.as_deref(), PAGE_SIZE).await?;
+        let last = page.len() < PAGE_SIZE;
         rows.extend(page);
         if last {
             return Ok(rows);
--- a/src/node/platform/timed.rs
+++ b/src/node/platform/timed.rs
@@ -1,4 +1,4 @@
-//! Bounds every wait for the platform, whatever stands behind its interfaces.
+//! Timeouts for every platform operation, independent of the client behind the interface.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,14 +12,13 @@
     TableStore, TableTransaction,
 };
 
-/// Longer than the client's own limit, which also gives the silent connection up.
+/// Exceeds the client's own timeout, which also closes the unresponsive connection.
 const PLATFORM_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// An interface of the platform whose operations end in time.
+/// Wraps a platform interface with timeouts.
 ///
-/// A connection that something on the way has forgotten stays open and carries nothing. Without
-/// this the task that waits for it, the journal's for one, would never do anything again. An
-/// operation given up may still take effect, so it counts as a lost reply.
+/// A half-open connection would otherwise block its task, such as the journal's, forever. An
+/// operation that timed out may still take effect, so it counts as a lost reply.
 pub(crate) struct TimedPlatform<T: ?Sized> {
     inner: Rc<T>,
 }
@@ -30,7 +29,7 @@
     }
 }
 
-async fn limited<T>(
+async fn with_timeout<T>(
     operation: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
     timeout(PLATFORM_TIMEOUT, operation).await.unwrap_or(Err(StoreError::ReplyLost))
@@ -39,11 +38,11 @@
 #[async_trait(?Send)]
 impl TableStore for TimedPlatform<dyn TableStore> {
     async fn commit(&self, transaction: &TableTransaction) -> Result<CommitReply, StoreError> {
-        limited(self.inner.commit(transaction)).await
+        with_timeout(self.inner.commit(transaction)).await
     }
 
     async fn read(&self, keys: &[RowKey]) -> Result<Vec<Option<StoredRow>>, StoreError> {
-        limited(self.inner.read(keys)).await
+        with_timeout(self.inner.read(keys)).await
     }
 
     async fn scan(
@@ -52,28 +51,28 @@
         after: Option<&str>,
         limit: usize,
     ) -> Result<Vec<KeyedRow>, StoreError> {
-        limited(self.inner.scan(prefix, after, limit)).await
+        with_timeout(self.inner.scan(prefix, after, limit)).await
     }
 }
 
 #[async_trait(?Send)]
 impl ObjectStore for TimedPlatform<dyn ObjectStore> {
     async fn put(&self, name: &str, body: Bytes) -> Result<(), StoreError> {
-        limited(self.inner.put(name, body)).await
+        with_timeout(self.inner.put(name, body)).await
     }
 
     async fn get(&self, name: &str) -> Result<Option<Bytes>, StoreError> {
-        limited(self.inner.get(name)).await
+        with_timeout(self.inner.get(name)).await
     }
 
     async fn delete(&self, name: &str) -> Result<(), StoreError> {
-        limited(self.inner.delete(name)).await
+        with_timeout(self.inner.delete(name)).await
     }
 }
 
 #[async_trait(?Send)]
 impl RosterSource for TimedPlatform<dyn RosterSource> {
     async fn list(&self) -> Result<Vec<RosterEntry>, StoreError> {
-        limited(self.inner.list()).await
+        with_timeout(self.inner.list()).await
     }
 }
