--- a/src/node/audit.rs
+++ b/src/node/audit.rs
@@ -167,7 +167,7 @@
         let mut total = TokensByWorkspace::new();
         for engine in roster.all(RosterRole::Engine) {
             let closure = costs.get(&engine.id)?;
-            if closure.remembers() < window {
+            if closure.retention() < window {
                 return None;
             }
             for WorkspaceCost { workspace, tokens } in &closure.costs {
--- a/src/node/release.rs
+++ b/src/node/release.rs
@@ -189,7 +189,7 @@
     }
 
     async fn sweep_engine(&self, engine: RosterEntry) {
-        let asking = timeout(RELEASE_TIMEOUT, self.engines.held(&engine.address)).await;
+        let asking = timeout(RELEASE_TIMEOUT, self.engines.held_programs(&engine.address)).await;
         let Ok(Ok(held)) = asking else { return };
         let programs = held.into_iter().map(|held| held.program).collect();
         for program in self.ended_programs(programs).await {
--- a/src/node/roster.rs
+++ b/src/node/roster.rs
@@ -149,7 +149,7 @@
         for entry in due {
             let answers = match entry.role {
                 RosterRole::Engine => {
-                    let asking = timeout(PROBE_TIMEOUT, self.engines.held(&entry.address));
+                    let asking = timeout(PROBE_TIMEOUT, self.engines.held_programs(&entry.address));
                     matches!(asking.await, Ok(Ok(_)))
                 }
                 RosterRole::Service | RosterRole::Instance => true,
--- a/src/node/upstream/http.rs
+++ b/src/node/upstream/http.rs
@@ -1,4 +1,4 @@
-//! Engines and services over HTTP with JSON bodies and JSON lines.
+//! Client of engines and services over HTTP with JSON bodies and JSON lines.
 
 use std::time::Duration;
 
@@ -17,23 +17,20 @@
 use crate::util::http_client::{HttpClient, HttpError};
 use crate::util::lines::LineReader;
 
-const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
-/// The caller of a service sets the real limit.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Upper bound only; callers of a service set their own timeout.
 const SERVICE_TIMEOUT: Duration = Duration::from_secs(3600);
 
-/// Body of a cancellation.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct CancelRequest {
     pub(crate) request_id: RequestId,
 }
 
-/// Body of a release.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct ReleaseRequest {
     pub(crate) program: ProgramId,
 }
 
-/// Client of engines and services.
 #[derive(Default)]
 pub struct HttpUpstreams {
     client: HttpClient,
@@ -49,12 +46,12 @@
     }
 }
 
-struct HttpTokens {
+struct HttpTokenStream {
     lines: LineReader,
 }
 
 #[async_trait(?Send)]
-impl TokenStream for HttpTokens {
+impl TokenStream for HttpTokenStream {
     async fn next(&mut self) -> Result<EngineEvent, UpstreamError> {
         self.lines.next().await.map_err(upstream_error)
     }
@@ -70,7 +67,7 @@
         let body = serde_json::to_vec(request).expect("requests serialize").into();
         let opening = self.client.open(Method::POST, address, "/generate", body, false);
         let lines = LineReader::new(opening.await.map_err(upstream_error)?);
-        Ok(Box::new(HttpTokens { lines }))
+        Ok(Box::new(HttpTokenStream { lines }))
     }
 
     async fn cancel(
@@ -79,7 +76,7 @@
         request_id: &str,
     ) -> Result<Option<TokenUsage>, UpstreamError> {
         let request = CancelRequest { request_id: request_id.into() };
-        let call = self.client.call(address, "/cancel", &request, ORDER_TIMEOUT);
+        let call = self.client.call(address, "/cancel", &request, CONTROL_TIMEOUT);
         call.await.map_err(upstream_error)
     }
 
@@ -88,18 +85,18 @@
         address: &str,
         request: CloseRequest,
     ) -> Result<AttemptClosure, UpstreamError> {
-        let call = self.client.call(address, "/close_attempts", &request, ORDER_TIMEOUT);
+        let call = self.client.call(address, "/close_attempts", &request, CONTROL_TIMEOUT);
         call.await.map_err(upstream_error)
     }
 
     async fn order(&self, address: &str, order: &FencedOrder) -> Result<(), UpstreamError> {
-        let call = self.client.call(address, "/order", order, ORDER_TIMEOUT);
+        let call = self.client.call(address, "/order", order, CONTROL_TIMEOUT);
         call.await.map_err(upstream_error)
     }
 
     async fn state(&self, address: &str) -> Result<EngineState, UpstreamError> {
         let empty = Bytes::new();
-        let exchange = self.client.exchange(Method::GET, address, "/state", empty, ORDER_TIMEOUT);
+        let exchange = self.client.exchange(Method::GET, address, "/state", empty, CONTROL_TIMEOUT);
         let body = exchange.await.map_err(upstream_error)?;
         serde_json::from_slice(&body)
             .map_err(|error| UpstreamError::Lost { message: error.to_string().into() })
@@ -107,13 +104,13 @@
 
     async fn release(&self, address: &str, program: ProgramId) -> Result<(), UpstreamError> {
         let request = ReleaseRequest { program };
-        let call = self.client.call(address, "/release", &request, ORDER_TIMEOUT);
+        let call = self.client.call(address, "/release", &request, CONTROL_TIMEOUT);
         call.await.map_err(upstream_error)
     }
 
-    async fn held(&self, address: &str) -> Result<Vec<HeldProgram>, UpstreamError> {
+    async fn held_programs(&self, address: &str) -> Result<Vec<HeldProgram>, UpstreamError> {
         let empty = Bytes::new();
-        let exchange = self.client.exchange(Method::GET, address, "/held", empty, ORDER_TIMEOUT);
+        let exchange = self.client.exchange(Method::GET, address, "/held", empty, CONTROL_TIMEOUT);
         let body = exchange.await.map_err(upstream_error)?;
         serde_json::from_slice(&body)
             .map_err(|error| UpstreamError::Lost { message: error.to_string().into() })
@@ -128,8 +125,8 @@
         request: &ServiceRequest,
     ) -> Result<ServiceReply, UpstreamError> {
         let body: Bytes = serde_json::to_vec(request).expect("requests serialize").into();
-        // A pooled connection may be closed just as the request goes out; a non-idempotent call
-        // would then end as unknown for nothing.
+        // A pooled connection may be closed by the service while the request is sent, which would
+        // leave the outcome of a non-idempotent call unknown.
         let exchange = self.client.exchange_once(
             Method::POST,
             address,
--- a/src/standin/gate.rs
+++ b/src/standin/gate.rs
@@ -191,7 +191,7 @@
         self.gate.leave().await.map_err(upstream_error)
     }
 
-    async fn held(&self, address: &str) -> Result<Vec<HeldProgram>, UpstreamError> {
+    async fn held_programs(&self, address: &str) -> Result<Vec<HeldProgram>, UpstreamError> {
         self.gate.enter().await.map_err(upstream_error)?;
         self.inner.engine(address)?.list_held().await
     }
