--- a/src/node/peers/mod.rs
+++ b/src/node/peers/mod.rs
@@ -120,7 +120,7 @@
     -> Result<(), PeerError>;
 
     /// Which of these programs have ended, as far as the asked instance owns them.
-    async fn ended(
+    async fn ended_programs(
         &self,
         to: &MemberInfo,
         programs: Vec<ProgramId>,
--- a/src/node/peers/network.rs
+++ b/src/node/peers/network.rs
@@ -357,7 +357,7 @@
         self.rpc(to, connection, CALL_TIMEOUT, async { call.send().promise.await.map(drop) }).await
     }
 
-    async fn ended(
+    async fn ended_programs(
         &self,
         to: &MemberInfo,
         programs: Vec<ProgramId>,
--- a/src/node/peers/timed.rs
+++ b/src/node/peers/timed.rs
@@ -123,12 +123,12 @@
         limited(to, CALL_TIMEOUT, self.inner.shards_released(to, shards)).await
     }
 
-    async fn ended(
+    async fn ended_programs(
         &self,
         to: &MemberInfo,
         programs: Vec<ProgramId>,
     ) -> Result<Vec<ProgramId>, PeerError> {
-        limited(to, CALL_TIMEOUT, self.inner.ended(to, programs)).await
+        limited(to, CALL_TIMEOUT, self.inner.ended_programs(to, programs)).await
     }
 
     async fn changes_since(
--- a/src/node/release.rs
+++ b/src/node/release.rs
@@ -161,7 +161,7 @@
 
     async fn ask_owner(&self, shard: ShardId, programs: Vec<ProgramId>) -> Vec<ProgramId> {
         let Some(peer) = self.shard_peer(shard) else { return Vec::new() };
-        let answer = timeout(RELEASE_TIMEOUT, self.peers.ended(&peer, programs)).await;
+        let answer = timeout(RELEASE_TIMEOUT, self.peers.ended_programs(&peer, programs)).await;
         answer.ok().and_then(Result::ok).unwrap_or_default()
     }
 
--- a/src/standin/network.rs
+++ b/src/standin/network.rs
@@ -201,7 +201,7 @@
         Ok(())
     }
 
-    async fn ended(
+    async fn ended_programs(
         &self,
         to: &MemberInfo,
         programs: Vec<ProgramId>,
