--- a/src/node/engines/mod.rs
+++ b/src/node/engines/mod.rs
@@ -180,7 +180,7 @@
                 attained: request.attained,
                 tokens: request.tokens,
                 own_tokens: request.own_tokens,
-                cold: request.newcomer,
+                cold: request.cold,
                 arrived: now,
                 deadline: now + request.wait,
             });
@@ -255,7 +255,7 @@
                 attained: context.attained,
                 tokens: need.tokens.min(u32::MAX.into()) as u32,
                 own_tokens: need.own_tokens.min(u32::MAX.into()) as u32,
-                newcomer: context.newcomer,
+                cold: context.newcomer,
                 wait: time_left(need.deadline),
             };
             let reply = match &owner {
--- a/src/node/peers/codec.rs
+++ b/src/node/peers/codec.rs
@@ -1,4 +1,4 @@
-//! Gossip datagrams as packed Cap'n Proto messages.
+//! Wire encoding of gossip datagrams and permit requests in Cap'n Proto.
 
 use std::time::Duration;
 
@@ -11,7 +11,6 @@
 use crate::core::timeline::CausalStamp;
 use crate::peer_capnp::{MemberState as WireState, gossip, member_update, permit_request, stamp};
 
-/// Writes a datagram.
 pub(crate) fn encode_gossip(message: &GossipMessage) -> Vec<u8> {
     let mut builder = Builder::new_default();
     let mut root = builder.init_root::<gossip::Builder<'_>>();
@@ -32,11 +31,10 @@
         GossipBody::Join => root.set_join(()),
     }
     let mut bytes = Vec::new();
-    serialize_packed::write_message(&mut bytes, &builder).expect("a vector takes any message");
+    serialize_packed::write_message(&mut bytes, &builder).expect("writing to a Vec cannot fail");
     bytes
 }
 
-/// Reads a datagram.
 pub(crate) fn decode_gossip(bytes: &[u8]) -> Result<GossipMessage, capnp::Error> {
     let reader = serialize_packed::read_message(bytes, ReaderOptions::new())?;
     let root = reader.get_root::<gossip::Reader<'_>>()?;
@@ -59,7 +57,8 @@
     })
 }
 
-/// Rounds up: a proof that looks younger than it is would be unsound.
+/// Encodes an age in milliseconds plus one; 0 is reserved for "none". Rounds up, since an
+/// underestimated age would be unsound.
 fn age_to_wire(age: Duration) -> u32 {
     let millis = age.as_micros().div_ceil(1000) + 1;
     millis.try_into().unwrap_or(u32::MAX)
@@ -93,7 +92,7 @@
     wire.set_attained(request.attained);
     wire.set_tokens(request.tokens);
     wire.set_own_tokens(request.own_tokens);
-    wire.set_newcomer(request.newcomer);
+    wire.set_newcomer(request.cold);
     wire.set_wait_millis(request.wait.as_millis().min(u32::MAX.into()) as u32);
 }
 
@@ -109,7 +108,7 @@
         attained: wire.get_attained(),
         tokens: wire.get_tokens(),
         own_tokens: wire.get_own_tokens(),
-        newcomer: wire.get_newcomer(),
+        cold: wire.get_newcomer(),
         wait: Duration::from_millis(wire.get_wait_millis().into()),
     })
 }
--- a/src/node/peers/mod.rs
+++ b/src/node/peers/mod.rs
@@ -1,4 +1,4 @@
-//! Other instances as this one uses them.
+//! Communication with other instances: requests, their transport, and the server side.
 
 mod codec;
 #[cfg(test)]
@@ -29,7 +29,7 @@
 pub use server::serve_peers;
 pub(crate) use timed::TimedPeers;
 
-/// A request for a slot on an engine that another instance owns.
+/// Requests a permit for an engine that another instance owns.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PermitRequest {
     pub permit: PermitId,
@@ -41,62 +41,58 @@
     pub weight: u16,
     pub attained: Tokens,
     pub tokens: u32,
-    /// The part of them that takes memory of its own.
+    /// The part of `tokens` that needs memory of its own: all but the shared prefix.
     pub own_tokens: u32,
-    /// Whether it is the first call of a program that nobody waits for.
-    pub newcomer: bool,
-    /// How long the request may wait in the queue.
+    /// First call of a program without a parent, for which no engine holds memory.
+    pub cold: bool,
+    /// Maximum time in the queue.
     pub wait: Duration,
 }
 
-/// Answer to a [`PermitRequest`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum PermitReply {
     Granted,
-    /// No slot became free in time; asking again makes sense after this.
+    /// No slot became free in time; the duration is the delay before a retry.
     Refused(Duration),
-    /// The asked instance does not own the engine.
+    /// The instance does not own the engine.
     NotOwner,
 }
 
-/// A request to start a program.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StartRequest {
     pub workspace: WorkspaceId,
     pub definition: Box<str>,
-    /// Repeating a start with the same key gives the same program while it lives.
+    /// Idempotency key: a repeated start returns the same program until it ends.
     pub start_key: Option<Box<str>>,
     pub parent: Option<ProgramId>,
 }
 
-/// The other instance did not answer.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("instance {instance} does not answer")]
 pub struct PeerError {
     pub instance: InstanceId,
-    /// Whether it may have got the request; if not, what was asked has not been done.
+    /// True if the request may have reached the instance; if false, it was not executed.
     pub sent: bool,
 }
 
 impl PeerError {
-    /// No byte of the request left.
+    /// No byte of the request was sent.
     pub fn unreachable(to: &MemberInfo) -> Self {
         Self { instance: to.instance.clone(), sent: false }
     }
 
-    /// The answer was lost.
+    /// The request may have been executed.
     pub fn lost(to: &MemberInfo) -> Self {
         Self { instance: to.instance.clone(), sent: true }
     }
 }
 
-/// Ways to other instances.
+/// Transport to other instances.
 #[async_trait(?Send)]
 pub trait PeerNetwork {
-    /// Sends a datagram; it may be lost.
+    /// Sends a datagram without a delivery guarantee.
     fn gossip(&self, to: &str, message: GossipMessage);
 
-    /// Asks for a sign of life.
     async fn ping(&self, to: &MemberInfo) -> Result<(), PeerError>;
 
     async fn acquire(
@@ -112,14 +108,14 @@
         permit: PermitId,
     ) -> Result<(), PeerError>;
 
-    /// Asks the holder of a slot to give it back.
+    /// Asks the holder of a permit to release it.
     async fn revoke(&self, to: &MemberInfo, permit: PermitId) -> Result<(), PeerError>;
 
-    /// Hints that these shards have no owner any more.
+    /// Notifies an instance that these shards no longer have an owner. This is only a hint.
     async fn shards_released(&self, to: &MemberInfo, shards: Vec<ShardId>)
     -> Result<(), PeerError>;
 
-    /// Which of these programs have ended, as far as the asked instance owns them.
+    /// Returns those of the programs that have ended; only programs that `to` owns are considered.
     async fn ended_programs(
         &self,
         to: &MemberInfo,
@@ -132,14 +128,14 @@
         version: ConfigVersion,
     ) -> Result<Vec<ConfigChange>, PeerError>;
 
-    /// Carries a call to its program's owner; the answer streams back into the returned call.
+    /// Forwards a call to its program's owner; the answer is streamed into the returned call.
     async fn forward_call(
         &self,
         to: &MemberInfo,
         request: CallRequest,
     ) -> Result<Result<Rc<LiveCall>, CallRefusal>, PeerError>;
 
-    /// Follows a call that was submitted earlier.
+    /// Attaches to a call that was submitted earlier.
     async fn forward_follow(
         &self,
         to: &MemberInfo,
@@ -147,14 +143,13 @@
         number: CallNumber,
     ) -> Result<Result<Rc<LiveCall>, CallRefusal>, PeerError>;
 
-    /// Ends a program at its owner.
     async fn forward_end(
         &self,
         to: &MemberInfo,
         program: ProgramId,
     ) -> Result<Result<(), CallRefusal>, PeerError>;
 
-    /// Reads a program's state at its owner, as JSON.
+    /// Returns the program's state as JSON.
     async fn forward_show(
         &self,
         to: &MemberInfo,
