--- a/src/node/peers/timed.rs
+++ b/src/node/peers/timed.rs
@@ -1,4 +1,4 @@
-//! Bounds every wait for another instance, whatever carries the messages.
+//! Timeouts for every request to another instance, independent of the transport.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -15,28 +15,28 @@
 use crate::core::outcome::CallRefusal;
 use crate::node::calls::{CallRequest, LiveCall};
 
-/// Longer than the network's own limit, which also gives the silent connection up.
+/// Exceeds the transport's own timeout, which also closes the unresponsive connection.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Time until a carried call must have begun to stream: it says each second that it waits.
+/// Time until a forwarded call must start to stream. The owner sends a `Waiting` event each second.
 const STREAM_TIMEOUT: Duration = Duration::from_millis(3500);
-/// Pings while a request waits in another instance's queue.
-const PULSE_INTERVAL: Duration = Duration::from_secs(1);
-/// Silence after which such a request is given up.
-const PULSE_LIMIT: Duration = Duration::from_millis(3500);
-
-/// Signs of life from one instance while something waits there.
-struct PeerPulse {
-    asked: Cell<Instant>,
-    heard: Cell<Instant>,
+/// Interval of pings while a request is queued at another instance.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Time without a reply after which a queued request fails.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(3500);
+
+/// Pings to one instance, shared by all requests that are queued there.
+struct PeerHeartbeat {
+    last_ping: Cell<Instant>,
+    last_reply: Cell<Instant>,
 }
 
-/// A network whose calls end in time.
+/// Wraps a [`PeerNetwork`] with timeouts.
 pub(crate) struct TimedPeers {
     inner: Rc<dyn PeerNetwork>,
-    pulses: RefCell<BTreeMap<InstanceId, Rc<PeerPulse>>>,
+    heartbeats: RefCell<BTreeMap<InstanceId, Rc<PeerHeartbeat>>>,
 }
 
-async fn limited<T>(
+async fn with_timeout<T>(
     to: &MemberInfo,
     limit: Duration,
     call: impl Future<Output = Result<T, PeerError>>,
@@ -46,34 +46,34 @@
 
 impl TimedPeers {
     pub(crate) fn new(inner: Rc<dyn PeerNetwork>) -> Rc<Self> {
-        Rc::new(Self { inner, pulses: RefCell::default() })
+        Rc::new(Self { inner, heartbeats: RefCell::default() })
     }
 
-    fn pulse(&self, to: &MemberInfo) -> Rc<PeerPulse> {
+    fn heartbeat(&self, to: &MemberInfo) -> Rc<PeerHeartbeat> {
         let now = Instant::now();
-        let mut pulses = self.pulses.borrow_mut();
-        pulses.retain(|_, pulse| Rc::strong_count(pulse) > 1);
-        let fresh = || Rc::new(PeerPulse { asked: Cell::new(now), heard: Cell::new(now) });
-        pulses.entry(to.instance.clone()).or_insert_with(fresh).clone()
+        let mut heartbeats = self.heartbeats.borrow_mut();
+        heartbeats.retain(|_, heartbeat| Rc::strong_count(heartbeat) > 1);
+        let create =
+            || Rc::new(PeerHeartbeat { last_ping: Cell::new(now), last_reply: Cell::new(now) });
+        heartbeats.entry(to.instance.clone()).or_insert_with(create).clone()
     }
 
-    /// Completes when an instance has been silent too long.
+    /// Completes when the instance has not answered a ping within `HEARTBEAT_TIMEOUT`.
     ///
-    /// A request may rightly wait long in a queue, so its own silence tells nothing; over a silent
-    /// connection it would wait until its deadline although other engines have room. All requests
-    /// that wait at one instance share its pings.
-    async fn wait_silent(&self, to: &MemberInfo) {
-        let pulse = self.pulse(to);
-        while pulse.heard.get().elapsed() < PULSE_LIMIT {
-            sleep(PULSE_INTERVAL).await;
-            if pulse.asked.get().elapsed() < PULSE_INTERVAL {
+    /// A queued request may legitimately stay unanswered for long. Without pings it would wait for
+    /// a lost instance until its deadline, although other engines have capacity.
+    async fn wait_unresponsive(&self, to: &MemberInfo) {
+        let heartbeat = self.heartbeat(to);
+        while heartbeat.last_reply.get().elapsed() < HEARTBEAT_TIMEOUT {
+            sleep(HEARTBEAT_INTERVAL).await;
+            if heartbeat.last_ping.get().elapsed() < HEARTBEAT_INTERVAL {
                 continue;
             }
-            pulse.asked.set(Instant::now());
-            let (inner, to, pulse) = (self.inner.clone(), to.clone(), pulse.clone());
+            heartbeat.last_ping.set(Instant::now());
+            let (inner, to, heartbeat) = (self.inner.clone(), to.clone(), heartbeat.clone());
             actix_rt::spawn(async move {
-                if limited(&to, CALL_TIMEOUT, inner.ping(&to)).await.is_ok() {
-                    pulse.heard.set(Instant::now());
+                if with_timeout(&to, CALL_TIMEOUT, inner.ping(&to)).await.is_ok() {
+                    heartbeat.last_reply.set(Instant::now());
                 }
             });
         }
@@ -87,7 +87,7 @@
     }
 
     async fn ping(&self, to: &MemberInfo) -> Result<(), PeerError> {
-        limited(to, CALL_TIMEOUT, self.inner.ping(to)).await
+        with_timeout(to, CALL_TIMEOUT, self.inner.ping(to)).await
     }
 
     async fn acquire(
@@ -97,8 +97,8 @@
     ) -> Result<PermitReply, PeerError> {
         let limit = request.wait + CALL_TIMEOUT;
         tokio::select! {
-            reply = limited(to, limit, self.inner.acquire(to, request)) => reply,
-            () = self.wait_silent(to) => Err(PeerError::lost(to)),
+            reply = with_timeout(to, limit, self.inner.acquire(to, request)) => reply,
+            () = self.wait_unresponsive(to) => Err(PeerError::lost(to)),
         }
     }
 
@@ -108,11 +108,11 @@
         engine: &str,
         permit: PermitId,
     ) -> Result<(), PeerError> {
-        limited(to, CALL_TIMEOUT, self.inner.finish(to, engine, permit)).await
+        with_timeout(to, CALL_TIMEOUT, self.inner.finish(to, engine, permit)).await
     }
 
     async fn revoke(&self, to: &MemberInfo, permit: PermitId) -> Result<(), PeerError> {
-        limited(to, CALL_TIMEOUT, self.inner.revoke(to, permit)).await
+        with_timeout(to, CALL_TIMEOUT, self.inner.revoke(to, permit)).await
     }
 
     async fn shards_released(
@@ -120,7 +120,7 @@
         to: &MemberInfo,
         shards: Vec<ShardId>,
     ) -> Result<(), PeerError> {
-        limited(to, CALL_TIMEOUT, self.inner.shards_released(to, shards)).await
+        with_timeout(to, CALL_TIMEOUT, self.inner.shards_released(to, shards)).await
     }
 
     async fn ended_programs(
@@ -128,7 +128,7 @@
         to: &MemberInfo,
         programs: Vec<ProgramId>,
     ) -> Result<Vec<ProgramId>, PeerError> {
-        limited(to, CALL_TIMEOUT, self.inner.ended_programs(to, programs)).await
+        with_timeout(to, CALL_TIMEOUT, self.inner.ended_programs(to, programs)).await
     }
 
     async fn changes_since(
@@ -136,7 +136,7 @@
         to: &MemberInfo,
         version: ConfigVersion,
     ) -> Result<Vec<ConfigChange>, PeerError> {
-        limited(to, CALL_TIMEOUT, self.inner.changes_since(to, version)).await
+        with_timeout(to, CALL_TIMEOUT, self.inner.changes_since(to, version)).await
     }
 
     async fn forward_call(
@@ -144,7 +144,7 @@
         to: &MemberInfo,
         request: CallRequest,
     ) -> Result<Result<Rc<LiveCall>, CallRefusal>, PeerError> {
-        limited(to, STREAM_TIMEOUT, self.inner.forward_call(to, request)).await
+        with_timeout(to, STREAM_TIMEOUT, self.inner.forward_call(to, request)).await
     }
 
     async fn forward_follow(
@@ -153,7 +153,7 @@
         program: ProgramId,
         number: CallNumber,
     ) -> Result<Result<Rc<LiveCall>, CallRefusal>, PeerError> {
-        limited(to, STREAM_TIMEOUT, self.inner.forward_follow(to, program, number)).await
+        with_timeout(to, STREAM_TIMEOUT, self.inner.forward_follow(to, program, number)).await
     }
 
     async fn forward_end(
@@ -161,7 +161,7 @@
         to: &MemberInfo,
         program: ProgramId,
     ) -> Result<Result<(), CallRefusal>, PeerError> {
-        limited(to, CALL_TIMEOUT, self.inner.forward_end(to, program)).await
+        with_timeout(to, CALL_TIMEOUT, self.inner.forward_end(to, program)).await
     }
 
     async fn forward_show(
@@ -169,6 +169,6 @@
         to: &MemberInfo,
         program: ProgramId,
     ) -> Result<Result<Box<str>, CallRefusal>, PeerError> {
-        limited(to, CALL_TIMEOUT, self.inner.forward_show(to, program)).await
+        with_timeout(to, CALL_TIMEOUT, self.inner.forward_show(to, program)).await
     }
 }
