--- a/src/node/peers/network.rs
+++ b/src/node/peers/network.rs
@@ -1,4 +1,4 @@
-//! Reaches other instances: datagrams, RPC connections that are watched, and calls over HTTP.
+//! Transport to other instances: gossip over UDP, RPC over pooled connections, and calls over HTTP.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -32,24 +32,22 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection that nothing used for so long is closed. Kept open to all of hundreds of members,
-/// connections would take more memory than an instance may spend on control.
-const IDLE_LIMIT: Duration = Duration::from_secs(60);
-/// Streams between instances say something each second, if only that they wait.
-const STREAM_STALL: Duration = Duration::from_secs(3);
-/// Times a broken stream is picked up again over a new connection.
-const FOLLOW_ATTEMPTS: u32 = 10;
-const FOLLOW_RETRY: Duration = Duration::from_millis(300);
-
-/// An RPC connection; its task ends when the last call over it is done.
+/// Unused connections are closed: open connections to every member of a large cluster would
+/// exceed an instance's memory budget for control traffic.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Streams between instances carry an event at least each second.
+const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(3);
+const MAX_FOLLOW_ATTEMPTS: u32 = 10;
+const FOLLOW_RETRY_DELAY: Duration = Duration::from_millis(300);
+
+/// An RPC connection; its task is aborted when the last call over it has completed.
 struct PeerConnection {
     client: peer::Client,
     health: Rc<ConnectionHealth>,
     system: JoinHandle<()>,
-    used: Cell<Instant>,
+    last_used: Cell<Instant>,
 }
 
-/// Whether a connection still works.
 #[derive(Default)]
 struct ConnectionHealth {
     broken: Cell<bool>,
@@ -62,7 +60,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Completes when the connection has broken; calls over it may never be answered then.
+    /// Completes when the connection is broken; calls over it may then stay unanswered forever.
     async fn wait_broken(&self) {
         loop {
             let changed = self.changed.notified();
@@ -82,15 +80,14 @@
     }
 }
 
-/// Sockets to other instances.
 pub struct RpcNetwork {
     socket: Rc<UdpSocket>,
     connections: RefCell<BTreeMap<Box<str>, Rc<PeerConnection>>>,
-    /// Held while a connection to one address is opened. One lock for all would let a member that
-    /// does not answer delay the calls to all others.
+    /// One lock per address, held while a connection is opened, so that an unresponsive member does
+    /// not delay calls to others.
     connecting: RefCell<BTreeMap<Box<str>, Rc<Mutex<()>>>>,
     http: Rc<HttpClient>,
-    /// For the causal clock and the metrics; set once the node stands.
+    /// Provides the causal clock and the metrics; set by `attach`.
     node: RefCell<Weak<Node>>,
 }
 
@@ -119,24 +116,23 @@
         }
     }
 
-    /// The connection to a member, opened if there is none that works. Calls that want it at the
-    /// same time share one.
+    /// Returns the open connection to a member, or opens one. Concurrent callers share it.
     async fn connection(&self, to: &MemberInfo) -> Result<Rc<PeerConnection>, PeerError> {
-        let turn = {
+        let lock = {
             let mut connecting = self.connecting.borrow_mut();
-            connecting.retain(|_, turn| Rc::strong_count(turn) > 1);
+            connecting.retain(|_, lock| Rc::strong_count(lock) > 1);
             connecting.entry(to.gossip_address.clone()).or_default().clone()
         };
-        let _turn = turn.lock().await;
+        let _guard = lock.lock().await;
         let in_use = |connection: &Rc<PeerConnection>| {
-            Rc::strong_count(connection) > 1 || connection.used.get().elapsed() < IDLE_LIMIT
+            Rc::strong_count(connection) > 1 || connection.last_used.get().elapsed() < IDLE_TIMEOUT
         };
         self.connections.borrow_mut().retain(|_, connection| in_use(connection));
-        let known = self.connections.borrow().get(&to.gossip_address).cloned();
-        if let Some(connection) = &known {
-            connection.used.set(Instant::now());
+        let existing = self.connections.borrow().get(&to.gossip_address).cloned();
+        if let Some(connection) = &existing {
+            connection.last_used.set(Instant::now());
         }
-        if let Some(connection) = known.filter(|connection| !connection.health.broken.get()) {
+        if let Some(connection) = existing.filter(|connection| !connection.health.broken.get()) {
             return Ok(connection);
         }
         let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(&*to.gossip_address));
@@ -146,7 +142,7 @@
         Ok(connection)
     }
 
-    /// Runs one RPC; one that fails or takes too long gives its connection up.
+    /// Runs one RPC; a failure or timeout marks the connection as broken.
     async fn rpc<T>(
         &self,
         to: &MemberInfo,
@@ -165,7 +161,7 @@
         Err(PeerError::lost(to))
     }
 
-    async fn forward_short(
+    async fn forward_unary(
         &self,
         to: &MemberInfo,
         method: Method,
@@ -194,7 +190,7 @@
         number: CallNumber,
     ) -> Result<Result<Rc<LiveCall>, CallRefusal>, PeerError> {
         let opening = self.http.open(method, &to.http_address, path, body, true);
-        let chunks = match timeout(STREAM_STALL, opening).await {
+        let chunks = match timeout(STREAM_STALL_TIMEOUT, opening).await {
             Ok(Ok(chunks)) => chunks,
             Ok(Err(HttpError::Status { message, .. })) => {
                 return serde_json::from_str(&message).map(Err).map_err(|_| PeerError::lost(to));
@@ -214,7 +210,6 @@
     }
 }
 
-/// The path that follows a call: that of its submission with the number added.
 fn follow_path(path: &str, number: CallNumber) -> Box<str> {
     if path.ends_with("/calls") { format!("{path}/{number}").into() } else { path.into() }
 }
@@ -229,29 +224,28 @@
             health.set_broken();
         }
     });
-    PeerConnection { client, health, system: running, used: Cell::new(Instant::now()) }
+    PeerConnection { client, health, system: running, last_used: Cell::new(Instant::now()) }
 }
 
-/// Copies a call's events from another instance, across broken connections.
+/// Relays a call's events from another instance and reconnects when the stream breaks.
 struct StreamRelay {
     http: Rc<HttpClient>,
     address: Box<str>,
-    /// Path that follows the call.
     path: Box<str>,
     call: Rc<LiveCall>,
 }
 
 impl StreamRelay {
     async fn run(self, mut lines: LineReader) {
-        for _ in 0..FOLLOW_ATTEMPTS {
-            if self.copy(&mut lines).await {
+        for _ in 0..MAX_FOLLOW_ATTEMPTS {
+            if self.relay_events(&mut lines).await {
                 return;
             }
-            sleep(FOLLOW_RETRY).await;
+            sleep(FOLLOW_RETRY_DELAY).await;
             let path = format!("{}?offset={}", self.path, self.call.text().len());
             let empty = Bytes::new();
             let opening = self.http.open(Method::GET, &self.address, &path, empty, true);
-            if let Ok(Ok(chunks)) = timeout(STREAM_STALL, opening).await {
+            if let Ok(Ok(chunks)) = timeout(STREAM_STALL_TIMEOUT, opening).await {
                 lines = LineReader::new(chunks);
             }
         }
@@ -260,10 +254,10 @@
             .finish(CallOutcome::Unknown(UnknownCall { message: message.into(), retryable: true }));
     }
 
-    /// Whether the final event has come.
-    async fn copy(&self, lines: &mut LineReader) -> bool {
+    /// Returns true after the final event, false if the stream broke or stalled.
+    async fn relay_events(&self, lines: &mut LineReader) -> bool {
         loop {
-            match timeout(STREAM_STALL, lines.next::<CallEvent>()).await {
+            match timeout(STREAM_STALL_TIMEOUT, lines.next::<CallEvent>()).await {
                 Ok(Ok(CallEvent::Tokens { text, .. })) => self.call.push(&text),
                 Ok(Ok(CallEvent::Waiting)) => {}
                 Ok(Ok(CallEvent::Final(outcome))) => {
@@ -284,7 +278,7 @@
             node.metrics.control_bytes(bytes.len());
         }
         let Ok(address) = to.parse::<std::net::SocketAddr>() else { return };
-        // A full socket buffer loses the datagram, as the network may.
+        // Gossip tolerates loss, so the datagram is dropped if the socket buffer is full.
         let _ = self.socket.try_send_to(&bytes, address);
     }
 
@@ -422,7 +416,7 @@
         to: &MemberInfo,
         program: ProgramId,
     ) -> Result<Result<(), CallRefusal>, PeerError> {
-        let answer = self.forward_short(to, Method::DELETE, program).await?;
+        let answer = self.forward_unary(to, Method::DELETE, program).await?;
         Ok(answer.map(drop))
     }
 
@@ -431,7 +425,7 @@
         to: &MemberInfo,
         program: ProgramId,
     ) -> Result<Result<Box<str>, CallRefusal>, PeerError> {
-        let answer = self.forward_short(to, Method::GET, program).await?;
+        let answer = self.forward_unary(to, Method::GET, program).await?;
         Ok(answer.map(|body| String::from_utf8_lossy(&body).into()))
     }
 }
