--- a/src/node/peers/codec_tests.rs
+++ b/src/node/peers/codec_tests.rs
@@ -1,4 +1,4 @@
-//! Gossip datagrams keep their form, so that two releases understand each other.
+//! Guards against encoding changes that break gossip between releases.
 
 use std::time::Duration;
 
@@ -53,12 +53,12 @@
     MemberState::LeavingSuspect,
     "101b500305010511070301071110021115121115121115470000010801010161016651040305010351020402150103041111121111121111121111121111120162017a016801720167"
 )]
-#[case::death(
+#[case::dead(
     GossipBody::Ping,
     MemberState::Dead,
     "101b5003050105010701071110021115121115121115470000010801010161016651040305010351020302150103041111121111121111121111121111120162017a016801720167"
 )]
-fn datagrams_keep_their_form(
+fn gossip_encoding_is_unchanged(
     #[case] body: GossipBody,
     #[case] state: MemberState,
     #[case] expected: &str,
@@ -66,5 +66,5 @@
     let message = message(body, state);
     let datagram = encode_gossip(&message);
     assert_eq!(hexadecimal(&datagram), expected);
-    assert_eq!(decode_gossip(&datagram).expect("it is readable"), message);
+    assert_eq!(decode_gossip(&datagram).expect("datagram decodes"), message);
 }
--- a/src/node/peers/server.rs
+++ b/src/node/peers/server.rs
@@ -1,4 +1,4 @@
-//! Answers other instances: datagrams and RPC on the same port number.
+//! Serves other instances over gossip datagrams (UDP) and RPC (TCP) on the same port number.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,10 +13,9 @@
 use crate::node::instance::Node;
 use crate::peer_capnp::peer;
 
-/// Largest datagram that is read.
-const DATAGRAM_MAX: usize = 64 * 1024;
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
-/// Serves other instances until its task is dropped.
+/// Runs until its task is dropped.
 pub async fn serve_peers(node: Rc<Node>, listener: TcpListener, socket: Rc<UdpSocket>) {
     let datagrams = receive_datagrams(node.clone(), socket);
     let connections = accept_connections(node, listener);
@@ -24,7 +23,7 @@
 }
 
 async fn receive_datagrams(node: Rc<Node>, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0; DATAGRAM_MAX];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else { continue };
         node.metrics.control_bytes(length);
@@ -45,7 +44,7 @@
     }
 }
 
-/// Runs one accepted RPC connection to its end.
+/// Serves one RPC connection until it closes.
 pub(crate) async fn run_connection(stream: TcpStream, bootstrap: capnp::capability::Client) {
     let _ = stream.set_nodelay(true);
     let (reader, writer) = stream.into_split();
