--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Leaving: instances that stop under load, upstreams that leave, and callers that come late.
+//! Graceful shutdown of instances under load, and upstreams that leave or refuse calls.
 
 mod support;
 
@@ -14,24 +14,23 @@
 use support::{TestCluster, answer_text, model_call, outage, outcome, run_paused};
 use tokio::time::{Instant, sleep};
 
-const DRAIN: Duration = Duration::from_secs(120);
-const TURNS: u32 = 48;
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(120);
+const CALLS_PER_PROGRAM: u32 = 48;
 
-/// What became of the calls of some programs.
 #[derive(Debug, Default)]
-struct LoadTally {
+struct CallCounts {
     answered: Cell<u32>,
     refused: Cell<u32>,
-    /// Calls that ended as unknown: cut off.
+    /// Calls with an unknown outcome, interrupted by the shutdown.
     unknown: Cell<u32>,
 }
 
-/// Runs one program through the instances in turn, `calls` times, as a caller with retries does.
+/// Submits `calls` calls of one program to the instances in rotation, with retries.
 async fn run_program(
     cluster: Rc<TestCluster>,
     program: ProgramId,
     calls: u32,
-    tally: Rc<LoadTally>,
+    counts: Rc<CallCounts>,
 ) {
     for number in 1..=calls {
         let mut turn = program as usize + number as usize;
@@ -42,63 +41,65 @@
             match outcome(nodes[turn % nodes.len()].submit(call).await).await {
                 CallOutcome::Answered(_) => break,
                 CallOutcome::NotRun(refusal) => {
-                    tally.refused.set(tally.refused.get() + 1);
-                    sleep(refusal.retry_after.expect("worth another try")).await;
+                    counts.refused.set(counts.refused.get() + 1);
+                    sleep(refusal.retry_after.expect("refusal is retryable")).await;
                 }
                 CallOutcome::Unknown(_) => {
-                    tally.unknown.set(tally.unknown.get() + 1);
+                    counts.unknown.set(counts.unknown.get() + 1);
                     sleep(Duration::from_millis(200)).await;
                 }
             }
         }
-        tally.answered.set(tally.answered.get() + 1);
+        counts.answered.set(counts.answered.get() + 1);
         sleep(Duration::from_secs(1)).await;
     }
 }
 
-/// Every instance is replaced, one after the other, while programs run. A caller must see no call
-/// cut off and none refused that could have been carried over; no turn may be missing at the end.
+/// Guards against interrupted calls, avoidable refusals and lost turns when all instances are
+/// replaced one by one.
 #[test]
-fn replacing_all_instances_under_load_cuts_nothing_off() {
+fn rolling_replacement_under_load_interrupts_no_call() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 10_000_000).await;
-        let tally = Rc::new(LoadTally::default());
+        let counts = Rc::new(CallCounts::default());
         let mut programs = Vec::new();
         let mut runs = Vec::new();
         for index in 0..60 {
             let program = cluster.start_program(index % 3, "w").await;
             programs.push(program);
-            let run = run_program(cluster.clone(), program, TURNS, tally.clone());
+            let run = run_program(cluster.clone(), program, CALLS_PER_PROGRAM, counts.clone());
             runs.push(actix_rt::spawn(run));
         }
         for index in 0..3 {
             let node = cluster.node(index);
-            assert!(node.shut_down(DRAIN).await, "everything is handed over");
+            assert!(
+                node.shut_down(DRAIN_TIMEOUT).await,
+                "handover completes before the drain timeout"
+            );
             cluster.remove(index);
             cluster.start_node(index).await;
             cluster.settled().await;
         }
-        let left = runs.iter().filter(|run| !run.is_finished()).count();
-        assert!(left > 0, "the load outlasts the replacement");
+        let running = runs.iter().filter(|run| !run.is_finished()).count();
+        assert!(running > 0, "load continues through the replacement");
         for run in runs {
-            run.await.expect("the program runs to its end");
+            run.await.expect("program run completes");
         }
-        println!("{tally:?}");
+        println!("{counts:?}");
         for program in programs {
-            let text = cluster.any_node().show_program(program).await.expect("it is served");
+            let text = cluster.any_node().show_program(program).await.expect("program is served");
             let view: serde_json::Value = serde_json::from_str(&text).expect("JSON");
-            assert_eq!(view["turns"].as_array().expect("a list").len(), TURNS as usize);
+            assert_eq!(view["turns"].as_array().expect("a list").len(), CALLS_PER_PROGRAM as usize);
         }
-        assert_eq!((tally.unknown.get(), tally.refused.get()), (0, 0));
+        assert_eq!((counts.unknown.get(), counts.refused.get()), (0, 0));
     });
 }
 
-/// An instance that leaves still runs a long call when one other instance cannot reach it for less
-/// than a second. Taken for dead at the first lost probe, its shard would be taken over while the
-/// journal is quiet, and the call would be cut off.
+/// Guards against declaring a leaving instance dead at the first lost probe: its shard would be
+/// taken over while it still runs a call.
 #[test]
-fn a_lost_probe_does_not_kill_a_leaving_instance() {
+fn leaving_instance_with_lost_probes_finishes_its_call() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 1_000_000).await;
@@ -107,7 +108,7 @@
         call.target = CallTarget::Model { max_tokens: 3000 };
         let call = cluster.node(0).submit(call).await.expect("admitted");
         let leaving = cluster.node(0);
-        let stop = actix_rt::spawn(async move { leaving.shut_down(DRAIN).await });
+        let stop = actix_rt::spawn(async move { leaving.shut_down(DRAIN_TIMEOUT).await });
         sleep(Duration::from_secs(1)).await;
         for _ in 0..3 {
             set_links(&cluster, Some(LinkFault::Cut));
@@ -126,24 +127,24 @@
     }
 }
 
-/// A caller keeps the address of an instance that stops, and uses it until its keep time is over.
-/// Each of its calls must be carried over to the new owner; the instance may go only after that.
+/// Guards against a leaving instance that exits or stops forwarding to the new owner while callers
+/// may still use its address.
 #[test]
-fn callers_that_keep_an_old_address_are_served() {
+fn calls_to_leaving_instance_are_forwarded_to_new_owner() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 1_000_000).await;
         let program = cluster.start_program(0, "w").await;
         let leaving = cluster.node(0);
         let stopping = leaving.clone();
-        let stop = actix_rt::spawn(async move { stopping.shut_down(DRAIN).await });
-        let began = Instant::now();
+        let stop = actix_rt::spawn(async move { stopping.shut_down(DRAIN_TIMEOUT).await });
+        let started = Instant::now();
         let mut number = 0;
-        while began.elapsed() < Duration::from_secs(10) {
+        while started.elapsed() < Duration::from_secs(10) {
             number += 1;
-            let asked = Instant::now();
+            let submitted = Instant::now();
             answer_text(&outcome(leaving.submit(model_call(program, number, "x")).await).await);
-            assert!(asked.elapsed() < Duration::from_secs(1));
+            assert!(submitted.elapsed() < Duration::from_secs(1));
             sleep(Duration::from_millis(500)).await;
         }
         assert!(!stop.is_finished());
@@ -154,10 +155,10 @@
     });
 }
 
-/// The platform lists an engine as leaving while calls run on it and wait for it. The running ones
-/// finish there; those that wait, and all later ones, must go elsewhere within a few seconds.
+/// Guards against dispatching queued or new calls to an engine that the roster lists as leaving.
+/// Running calls finish there.
 #[test]
-fn a_leaving_engine_gets_no_new_work() {
+fn leaving_engine_receives_no_further_calls() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 10_000_000).await;
@@ -171,18 +172,18 @@
         sleep(Duration::from_millis(200)).await;
         cluster.platform.update_roster("e0", |entry| entry.leaving = true);
         sleep(Duration::from_secs(2)).await;
-        let taken = cluster.engines[0].calls();
+        let calls_before = cluster.engines[0].calls();
         for call in calls {
             answer_text(&call.wait().await);
         }
-        assert_eq!(cluster.engines[0].calls(), taken);
+        assert_eq!(cluster.engines[0].calls(), calls_before);
     });
 }
 
-/// An engine refuses everything though the list says nothing of it, as one does that leaves or has
-/// died. It must not be tried by every call; once it works again it must be used again.
+/// The roster does not report the failing engine. Guards against trying it with every call, and
+/// against ignoring it after recovery.
 #[test]
-fn a_refusing_engine_is_put_aside_and_comes_back() {
+fn refusing_engine_is_ejected_and_used_again_after_recovery() {
     run_paused(async {
         let cluster = TestCluster::start(1).await;
         cluster.workspace("w", ServiceClass::Paying, 10_000_000).await;
@@ -202,10 +203,10 @@
         };
         run(60).await;
         let tries = engine.faults.operations() - tried;
-        assert!(tries < 30, "{tries} requests reached an engine that refuses");
+        assert!(tries < 30, "{tries} requests reached the refusing engine");
         engine.faults.set(FaultSettings::default());
         let before = engine.calls();
         run(40).await;
-        assert!(engine.calls() > before, "the engine is used again");
+        assert!(engine.calls() > before, "recovered engine receives calls");
     });
 }
