--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -1,4 +1,4 @@
-//! The binary itself: instances as processes that are stopped, frozen and killed under load.
+//! The binary under load: instance processes are terminated, suspended and killed.
 
 mod support;
 
@@ -16,7 +16,7 @@
 use support::{answer_text, create_workspace, wait_until};
 use tokio::time::{sleep, timeout};
 
-/// A running instance; killed when the test is done with it.
+/// A running instance process, killed on drop.
 struct InstanceProcess {
     child: Child,
 }
@@ -37,10 +37,10 @@
         assert!(sent.expect("kill runs").success());
     }
 
-    /// Waits for the end; the exit code, or `None` if a signal ended it.
-    async fn ended(&mut self) -> Option<i32> {
+    /// Returns the exit code, or `None` if a signal terminated the process.
+    async fn wait_exit(&mut self) -> Option<i32> {
         loop {
-            if let Some(status) = self.child.try_wait().expect("the child is ours") {
+            if let Some(status) = self.child.try_wait().expect("child status is available") {
                 return status.code();
             }
             sleep(Duration::from_millis(50)).await;
@@ -55,23 +55,22 @@
     }
 }
 
-/// One process is asked to stop, one stands still for four seconds, one is killed, each under load
-/// and each replaced. Callers follow their programs through all of it: every call ends with its own
-/// whole answer, the one that was asked to stop exits with 0, and no booking runs twice.
+/// Guards against incomplete answers, service calls that run twice and unclean exits when processes
+/// are terminated, suspended or killed under load.
 #[test]
-fn programs_outlive_stopped_frozen_and_killed_processes() {
+fn programs_survive_terminated_suspended_and_killed_processes() {
     actix_rt::System::new().block_on(async {
         let standins = serve_standins(4, None).await;
         let platform = standins.platform_address.clone();
         let mut processes: Vec<_> =
             (0..3).map(|index| InstanceProcess::start(index, &platform)).collect();
-        // A fourth instance in this process takes the configuration and shows who is there.
+        // A fourth instance, in this process, accepts the configuration and reports the members.
         let mut own = settings(3, &platform);
         let sockets = NodeSockets::open(&mut own).await.expect("the addresses are free");
-        let watcher = launch_node(own, sockets, 3).await;
-        wait_until(|| watcher.member_list().len() == 4).await;
-        create_workspace(&watcher, "w", ServiceClass::Paying, 10_000_000).await;
-        // The bound within which the definition is in force everywhere.
+        let observer = launch_node(own, sockets, 3).await;
+        wait_until(|| observer.member_list().len() == 4).await;
+        create_workspace(&observer, "w", ServiceClass::Paying, 10_000_000).await;
+        // Time until the definition is in effect on all instances.
         sleep(Duration::from_secs(3)).await;
         let seeds: Vec<Box<str>> =
             (0..4).map(|index| format!("{}:7000", loopback(10 + index)).into()).collect();
@@ -90,7 +89,7 @@
                 };
                 let (request_id, input) = (format!("r{number}").into(), "x".into());
                 let call = ClientCall { number, request_id, input, target };
-                let report = client.call(&program, &call, limit).await.expect("it ends");
+                let report = client.call(&program, &call, limit).await.expect("call completes");
                 match &report.outcome {
                     CallOutcome::Unknown(unknown) => assert!(!unknown.retryable && number % 4 == 0),
                     outcome => assert_eq!(&*report.streamed, answer_text(outcome)),
@@ -99,22 +98,22 @@
             }
             number
         });
-        let disturbing = async {
+        let disruptions = async {
             sleep(Duration::from_secs(2)).await;
             processes[0].signal("-TERM");
-            assert_eq!(processes[0].ended().await, Some(0));
+            assert_eq!(processes[0].wait_exit().await, Some(0));
             processes[0] = InstanceProcess::start(0, &platform);
             processes[1].signal("-STOP");
             sleep(Duration::from_secs(4)).await;
             processes[1].signal("-CONT");
             processes[2].signal("-KILL");
-            assert_eq!(processes[2].ended().await, None);
+            assert_eq!(processes[2].wait_exit().await, None);
             processes[2] = InstanceProcess::start(2, &platform);
             sleep(Duration::from_secs(6)).await;
             stop.set(true);
         };
-        let all = futures_util::future::join(futures_util::future::join_all(programs), disturbing);
-        let (counts, ()) = timeout(Duration::from_secs(55), all).await.expect("all calls end");
+        let all = futures_util::future::join(futures_util::future::join_all(programs), disruptions);
+        let (counts, ()) = timeout(Duration::from_secs(55), all).await.expect("all calls complete");
         assert!(counts.iter().all(|count| *count >= 8), "{counts:?}");
         assert!(standins.service.executions().values().all(|count| *count == 1));
     });
