--- a/src/node/peers/codec.rs
+++ b/src/node/peers/codec.rs
@@ -41,14 +41,14 @@
     let body = match root.which()? {
         gossip::Ping(()) => GossipBody::Ping,
         gossip::Ack(()) => GossipBody::Ack,
-        gossip::IndirectPing(target) => GossipBody::IndirectPing(text(target?)?),
+        gossip::IndirectPing(target) => GossipBody::IndirectPing(read_text(target?)?),
         gossip::Join(()) => GossipBody::Join,
     };
     let updates = root.get_updates()?.iter().map(read_update).collect::<Result<_, _>>()?;
     Ok(GossipMessage {
         stamp: read_stamp(root.get_stamp()?),
-        from: text(root.get_from()?)?,
-        from_address: text(root.get_from_address()?)?,
+        from: read_text(root.get_from()?)?,
+        from_address: read_text(root.get_from_address()?)?,
         config_head: root.get_config_head(),
         head_age: age_from_wire(root.get_head_age_millis()),
         sequence: root.get_sequence(),
@@ -77,7 +77,7 @@
     CausalStamp { wall_micros: reader.get_wall_micros(), counter: reader.get_counter() }
 }
 
-pub(super) fn text(reader: capnp::text::Reader<'_>) -> Result<Box<str>, capnp::Error> {
+pub(super) fn read_text(reader: capnp::text::Reader<'_>) -> Result<Box<str>, capnp::Error> {
     Ok(reader.to_str()?.into())
 }
 
@@ -99,10 +99,10 @@
 pub(super) fn read_permit(wire: permit_request::Reader<'_>) -> Result<PermitRequest, capnp::Error> {
     Ok(PermitRequest {
         permit: wire.get_permit(),
-        holder: text(wire.get_holder()?)?,
+        holder: read_text(wire.get_holder()?)?,
         program: wire.get_program(),
-        workspace: text(wire.get_workspace()?)?,
-        engine: text(wire.get_engine()?)?,
+        workspace: read_text(wire.get_workspace()?)?,
+        engine: read_text(wire.get_engine()?)?,
         class: if wire.get_paying() { ServiceClass::Paying } else { ServiceClass::Trial },
         weight: wire.get_weight(),
         attained: wire.get_attained(),
@@ -136,7 +136,7 @@
 
 fn read_update(reader: member_update::Reader<'_>) -> Result<MemberInfo, capnp::Error> {
     Ok(MemberInfo {
-        instance: text(reader.get_instance()?)?,
+        instance: read_text(reader.get_instance()?)?,
         incarnation: reader.get_incarnation(),
         revision: reader.get_revision(),
         state: match reader.get_state()? {
@@ -146,10 +146,10 @@
             WireState::Dead => MemberState::Dead,
             WireState::Doubted => MemberState::LeavingSuspect,
         },
-        zone: text(reader.get_zone()?)?,
-        http_address: text(reader.get_http_address()?)?,
-        rpc_address: text(reader.get_rpc_address()?)?,
-        gossip_address: text(reader.get_gossip_address()?)?,
+        zone: read_text(reader.get_zone()?)?,
+        http_address: read_text(reader.get_http_address()?)?,
+        rpc_address: read_text(reader.get_rpc_address()?)?,
+        gossip_address: read_text(reader.get_gossip_address()?)?,
         load: MemberLoad {
             paying: reader.get_paying_load(),
             trial: reader.get_trial_load(),
