--- a/src/node/engines/mod.rs
+++ b/src/node/engines/mod.rs
@@ -208,7 +208,7 @@
     fn give_back(self: Rc<Self>, owner: MemberInfo, engine: UpstreamId, permit: PermitId) {
         actix_rt::spawn(async move {
             while !self.is_stopped() {
-                if self.peers.finish(&owner, &engine, permit).await.is_ok() {
+                if self.peers.release(&owner, &engine, permit).await.is_ok() {
                     return;
                 }
                 sleep(GIVE_BACK_RETRY).await;
--- a/src/node/peers/mod.rs
+++ b/src/node/peers/mod.rs
@@ -101,7 +101,7 @@
         request: PermitRequest,
     ) -> Result<PermitReply, PeerError>;
 
-    async fn finish(
+    async fn release(
         &self,
         to: &MemberInfo,
         engine: &str,
--- a/src/node/peers/network.rs
+++ b/src/node/peers/network.rs
@@ -313,7 +313,7 @@
         self.rpc(to, connection, request.wait + CALL_TIMEOUT, answer).await
     }
 
-    async fn finish(
+    async fn release(
         &self,
         to: &MemberInfo,
         engine: &str,
--- a/src/node/peers/timed.rs
+++ b/src/node/peers/timed.rs
@@ -102,13 +102,13 @@
         }
     }
 
-    async fn finish(
+    async fn release(
         &self,
         to: &MemberInfo,
         engine: &str,
         permit: PermitId,
     ) -> Result<(), PeerError> {
-        with_timeout(to, CALL_TIMEOUT, self.inner.finish(to, engine, permit)).await
+        with_timeout(to, CALL_TIMEOUT, self.inner.release(to, engine, permit)).await
     }
 
     async fn revoke(&self, to: &MemberInfo, permit: PermitId) -> Result<(), PeerError> {
--- a/src/standin/network.rs
+++ b/src/standin/network.rs
@@ -177,7 +177,7 @@
         Ok(self.reach(to).await?.acquire_here(request).await)
     }
 
-    async fn finish(
+    async fn release(
         &self,
         to: &MemberInfo,
         engine: &str,
