--- a/src/node/engines/mod.rs
+++ b/src/node/engines/mod.rs
@@ -180,7 +180,7 @@
                 attained: request.attained,
                 tokens: request.tokens,
                 own_tokens: request.own_tokens,
-                cold: request.newcomer,
+                cold: request.cold,
                 arrived: now,
                 deadline: now + request.wait,
             });
@@ -208,7 +208,7 @@
     fn give_back(self: Rc<Self>, owner: MemberInfo, engine: UpstreamId, permit: PermitId) {
         actix_rt::spawn(async move {
             while !self.is_stopped() {
-                if self.peers.finish(&owner, &engine, permit).await.is_ok() {
+                if self.peers.release(&owner, &engine, permit).await.is_ok() {
                     return;
                 }
                 sleep(GIVE_BACK_RETRY).await;
@@ -255,7 +255,7 @@
                 attained: context.attained,
                 tokens: need.tokens.min(u32::MAX.into()) as u32,
                 own_tokens: need.own_tokens.min(u32::MAX.into()) as u32,
-                newcomer: context.cold,
+                cold: context.cold,
                 wait: time_left(need.deadline),
             };
             let reply = match &owner {
--- a/src/node/release.rs
+++ b/src/node/release.rs
@@ -161,7 +161,7 @@
 
     async fn ask_owner(&self, shard: ShardId, programs: Vec<ProgramId>) -> Vec<ProgramId> {
         let Some(peer) = self.shard_peer(shard) else { return Vec::new() };
-        let answer = timeout(RELEASE_TIMEOUT, self.peers.ended(&peer, programs)).await;
+        let answer = timeout(RELEASE_TIMEOUT, self.peers.ended_programs(&peer, programs)).await;
         answer.ok().and_then(Result::ok).unwrap_or_default()
     }
 
@@ -189,7 +189,7 @@
     }
 
     async fn sweep_engine(&self, engine: RosterEntry) {
-        let asking = timeout(RELEASE_TIMEOUT, self.engines.held(&engine.address)).await;
+        let asking = timeout(RELEASE_TIMEOUT, self.engines.held_programs(&engine.address)).await;
         let Ok(Ok(held)) = asking else { return };
         let programs = held.into_iter().map(|held| held.program).collect();
         for program in self.ended_programs(programs).await {
--- a/src/standin/network.rs
+++ b/src/standin/network.rs
@@ -177,7 +177,7 @@
         Ok(self.reach(to).await?.acquire_here(request).await)
     }
 
-    async fn finish(
+    async fn release(
         &self,
         to: &MemberInfo,
         engine: &str,
@@ -201,7 +201,7 @@
         Ok(())
     }
 
-    async fn ended(
+    async fn ended_programs(
         &self,
         to: &MemberInfo,
         programs: Vec<ProgramId>,
