--- a/src/node/batch.rs
+++ b/src/node/batch.rs
@@ -4,7 +4,7 @@
 use tokio::time::sleep;
 
 use super::instance::Node;
-use super::journal::{FIRST_RETRY, MAX_RETRY};
+use super::journal::{MAX_RETRY_DELAY, MIN_RETRY_DELAY};
 use super::ownership::object_name;
 use super::platform::StoreError;
 use crate::core::history::{JournalBatch, JournalRecord};
@@ -12,7 +12,7 @@
 use crate::core::timeline::CausalStamp;
 
 /// Largest body that goes into the table; rows are small in most tables, and slow when large.
-const INLINE_BYTES: usize = 32 * 1024;
+const MAX_INLINE_BYTES: usize = 32 * 1024;
 
 /// A batch as its row keeps it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -37,14 +37,14 @@
     /// that is not there; built again, the batch has the same records and so the same name.
     pub(super) async fn batch_row(&self, records: &[JournalRecord]) -> BatchRow {
         let body = serde_json::to_vec(records).expect("records serialize");
-        if body.len() <= INLINE_BYTES {
+        if body.len() <= MAX_INLINE_BYTES {
             return BatchRow::Inline(JournalBatch {
                 stamp: self.stamp(),
                 records: records.to_vec(),
             });
         }
         let object = object_name("batch", self.incarnation(), &body);
-        let mut retry = FIRST_RETRY;
+        let mut retry = MIN_RETRY_DELAY;
         loop {
             self.metrics.store_write();
             let stored = self.objects.put(&object, body.clone().into()).await;
@@ -53,7 +53,7 @@
                 return BatchRow::Object { stamp: self.stamp(), object };
             }
             sleep(retry).await;
-            retry = (retry * 2).min(MAX_RETRY);
+            retry = (retry * 2).min(MAX_RETRY_DELAY);
         }
     }
 
--- a/src/node/grants.rs
+++ b/src/node/grants.rs
@@ -6,7 +6,9 @@
 use tokio::time::sleep;
 
 use super::instance::Node;
-use super::journal::{CONFIG_HEAD, FIRST_RETRY, MAX_RETRY, UNFENCED, budget_key, incarnation_key};
+use super::journal::{
+    CONFIG_HEAD, MAX_RETRY_DELAY, MIN_RETRY_DELAY, UNFENCED, budget_key, incarnation_key,
+};
 use super::platform::{RowKey, StoredRow, TableTransaction, parse_row};
 use crate::core::budget::{AccountRow, BudgetRow, DrawRequest};
 use crate::core::ids::{ConfigVersion, WorkspaceId};
@@ -95,7 +97,7 @@
     }
 
     async fn read_until_answered(&self, keys: &[RowKey]) -> Vec<Option<StoredRow>> {
-        let mut retry = FIRST_RETRY;
+        let mut retry = MIN_RETRY_DELAY;
         loop {
             match self.table.read(keys).await {
                 Ok(found) => {
@@ -105,7 +107,7 @@
                 Err(_) => self.journal.set_failing(true),
             }
             sleep(retry).await;
-            retry = (retry * 2).min(MAX_RETRY);
+            retry = (retry * 2).min(MAX_RETRY_DELAY);
         }
     }
 
--- a/src/node/journal.rs
+++ b/src/node/journal.rs
@@ -91,9 +91,9 @@
 pub(crate) const UNFENCED: u64 = 1;
 
 /// Commits that may follow at once before they are paced; under steady load they are.
-const COMMIT_BURST: u32 = 8;
-pub(super) const FIRST_RETRY: Duration = Duration::from_millis(50);
-pub(super) const MAX_RETRY: Duration = Duration::from_secs(1);
+const MAX_COMMIT_BURST: u32 = 8;
+pub(super) const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+pub(super) const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 impl JournalWriter {
     /// Adds records and waits until they are durable.
@@ -215,7 +215,7 @@
 /// Writes the journal until the process ends; a fenced incarnation is replaced by a new one.
 pub(crate) async fn run_journal(node: Rc<Node>) {
     let interval = node.settings.limits.commit_interval();
-    let mut pacer = RatePacer::new(interval, COMMIT_BURST, Instant::now());
+    let mut pacer = RatePacer::new(interval, MAX_COMMIT_BURST, Instant::now());
     loop {
         while !node.journal.is_fenced()
             && node.journal.queue.borrow().is_empty()
@@ -313,7 +313,7 @@
 async fn commit_until_known(node: &Rc<Node>, commit: &JournalCommit) -> CommitEnd {
     let incarnation = node.incarnation();
     let batch = batch_key(incarnation, node.journal.next_sequence());
-    let mut retry = FIRST_RETRY;
+    let mut retry = MIN_RETRY_DELAY;
     let mut fenced = JournalError::Fenced;
     loop {
         node.metrics.store_write();
@@ -336,7 +336,7 @@
             }
         }
         sleep(retry).await;
-        retry = (retry * 2).min(MAX_RETRY);
+        retry = (retry * 2).min(MAX_RETRY_DELAY);
     }
     CommitEnd::Committed
 }
--- a/src/node/ownership/checkpoint.rs
+++ b/src/node/ownership/checkpoint.rs
@@ -16,7 +16,7 @@
 use crate::node::platform::{CommitReply, StoreError, TableTransaction};
 
 /// Batches deleted in one transaction.
-const TRIM_CHUNK: u64 = 256;
+const MAX_TRIM_BATCHES: u64 = 256;
 
 impl Node {
     pub(crate) fn spawn_checkpoints(self: Rc<Self>) {
@@ -234,7 +234,7 @@
         let until = self.first_needed(incarnation).min(written);
         let mut next = from;
         while next < until {
-            let end = until.min(next + TRIM_CHUNK);
+            let end = until.min(next + MAX_TRIM_BATCHES);
             let mut transaction = self.fenced(TableTransaction::default());
             for sequence in next..end {
                 transaction = transaction.delete(batch_key(incarnation, sequence));
--- a/src/node/ownership/collect.rs
+++ b/src/node/ownership/collect.rs
@@ -11,7 +11,7 @@
 
 const INCARNATION_PREFIX: &str = "incarnation/";
 /// Batches deleted in one transaction.
-const COLLECT_CHUNK: usize = 256;
+const COLLECT_PAGE_SIZE: usize = 256;
 
 /// An incarnation's row as it was read.
 struct KnownIncarnation {
@@ -84,7 +84,7 @@
         self.close_account(row.incarnation).await?;
         loop {
             let prefix = journal_prefix(row.incarnation);
-            let batches = self.table.scan(&prefix, None, COLLECT_CHUNK).await?;
+            let batches = self.table.scan(&prefix, None, COLLECT_PAGE_SIZE).await?;
             if batches.is_empty() {
                 break;
             }
--- a/src/node/ownership/load.rs
+++ b/src/node/ownership/load.rs
@@ -28,7 +28,7 @@
     checkpoints: BTreeMap<Box<str>, Rc<ShardCheckpoint>>,
 }
 
-const JOURNAL_PAGE: usize = 256;
+const JOURNAL_PAGE_SIZE: usize = 256;
 
 impl Node {
     pub(super) async fn load_shards(
@@ -106,7 +106,7 @@
                 continue;
             }
             let after = next.checked_sub(1).map(|last| batch_key(span.incarnation, last));
-            let page = self.table.scan(&prefix, after.as_deref(), JOURNAL_PAGE).await?;
+            let page = self.table.scan(&prefix, after.as_deref(), JOURNAL_PAGE_SIZE).await?;
             let expected = batch_key(span.incarnation, next);
             if page.first().is_none_or(|row| row.key != expected) {
                 return Err(missing(&expected));
--- a/src/node/ownership/mod.rs
+++ b/src/node/ownership/mod.rs
@@ -20,17 +20,17 @@
 pub(crate) use segments::{SegmentIndex, object_name};
 pub(crate) use takeover::JournalTail;
 
-const RECONCILE: Duration = Duration::from_millis(250);
+const RECONCILE_INTERVAL: Duration = Duration::from_millis(250);
 /// How often all shard rows are read though nothing hints at a change.
-const SCAN: Duration = Duration::from_secs(3);
+const SCAN_INTERVAL: Duration = Duration::from_secs(3);
 /// Time to hear of the other members before claiming anything.
-const FIRST_CLAIM: Duration = Duration::from_millis(800);
+const FIRST_CLAIM_DELAY: Duration = Duration::from_millis(800);
 /// Longest time to tell a member of shards that were let go; it would find them by itself.
 const HINT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Shards in one transaction.
-const CLAIM_CHUNK: usize = 128;
+const MAX_CLAIM_SHARDS: usize = 128;
 /// Times a claim is made anew because a batch of the journal got in before it.
-const CLAIM_ATTEMPTS: usize = 4;
+const MAX_CLAIM_ATTEMPTS: usize = 4;
 
 pub(crate) const SHARD_PREFIX: &str = "shard/";
 
@@ -45,13 +45,14 @@
 impl Node {
     pub(crate) fn spawn_ownership(self: Rc<Self>) {
         actix_rt::spawn(async move {
-            sleep(FIRST_CLAIM).await;
+            sleep(FIRST_CLAIM_DELAY).await;
             self.members_changed();
             let mut next_scan = Instant::now();
             while !self.is_stopped() {
-                let hinted = timeout(RECONCILE, self.ownership_hint.notified()).await.is_ok();
+                let hinted =
+                    timeout(RECONCILE_INTERVAL, self.ownership_hint.notified()).await.is_ok();
                 if hinted || Instant::now() >= next_scan {
-                    next_scan = Instant::now() + SCAN;
+                    next_scan = Instant::now() + SCAN_INTERVAL;
                     if self.scan_shards().await.is_err() {
                         continue;
                     }
@@ -99,7 +100,7 @@
     /// An instance without calls writes nothing, so no failed write tells it that it was fenced.
     /// It would keep its shards unserved by anyone, as the others see it alive.
     async fn look_for_fence(&self) -> Result<(), StoreError> {
-        let recent = self.journal.last_commit().is_some_and(|last| last.elapsed() < SCAN);
+        let recent = self.journal.last_commit().is_some_and(|last| last.elapsed() < SCAN_INTERVAL);
         if !recent {
             self.confirm_unfenced().await?;
         }
@@ -175,8 +176,8 @@
         former: Option<Incarnation>,
         ended_at: u64,
     ) -> Result<(), StoreError> {
-        for chunk in shards.chunks(CLAIM_CHUNK) {
-            for _ in 0..CLAIM_ATTEMPTS {
+        for chunk in shards.chunks(MAX_CLAIM_SHARDS) {
+            for _ in 0..MAX_CLAIM_ATTEMPTS {
                 let transaction = self.claim(chunk, former, ended_at);
                 // Whatever the reply says, or if it is lost: the rows tell who owns the shards.
                 let reply = self.commit_fenced(&transaction).await;
@@ -258,7 +259,7 @@
             let draining = shards.owned().filter(|(_, phase)| *phase == ShardPhase::Draining);
             draining.map(|(shard, _)| shard).filter(|shard| self.is_drained(*shard)).collect()
         };
-        for chunk in draining.chunks(CLAIM_CHUNK) {
+        for chunk in draining.chunks(MAX_CLAIM_SHARDS) {
             self.release_shards(chunk).await?;
         }
         Ok(())
--- a/src/node/ownership/segments.rs
+++ b/src/node/ownership/segments.rs
@@ -14,10 +14,10 @@
 use crate::node::platform::StoreError;
 
 /// Text in one segment object, about. It bounds what reading one program's turns fetches.
-const SEGMENT_BYTES: usize = 1024 * 1024;
+const TARGET_SEGMENT_BYTES: usize = 1024 * 1024;
 /// A program with more segments is written anew as one.
-const MAX_SEGMENTS: usize = 16;
-const FILL_RETRY: Duration = Duration::from_secs(1);
+const MAX_PROGRAM_SEGMENTS: usize = 16;
+const LOAD_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// An object to be put.
 pub(super) struct PlannedObject {
@@ -62,7 +62,7 @@
 
     /// Adds a program's new turns, or all of them if it has many segments.
     pub(super) fn add(&mut self, program: &ProgramRecord) {
-        let compact = program.segments.len() >= MAX_SEGMENTS && program.unloaded_turns == 0;
+        let compact = program.segments.len() >= MAX_PROGRAM_SEGMENTS && program.unloaded_turns == 0;
         let (kept, turns) = match compact {
             true => (Vec::new(), &program.turns[..]),
             false => (program.segments.clone(), program.unstored_turns()),
@@ -72,7 +72,7 @@
             self.open_bytes += turns.iter().map(turn_bytes).sum::<usize>();
             self.open.programs.insert(program.id, turns.to_vec());
         }
-        if self.open_bytes >= SEGMENT_BYTES {
+        if self.open_bytes >= TARGET_SEGMENT_BYTES {
             self.close_object(shard_of(program.id));
         }
     }
@@ -208,7 +208,7 @@
             }
             Err(error) => {
                 self.event("history_unread").program(program).detail(error.to_string()).log();
-                Err(CallRefusal::retry(RefusalReason::StoreUnavailable, FILL_RETRY))
+                Err(CallRefusal::retry(RefusalReason::StoreUnavailable, LOAD_RETRY_DELAY))
             }
         }
     }
--- a/src/node/ownership/takeover.rs
+++ b/src/node/ownership/takeover.rs
@@ -22,8 +22,8 @@
 }
 
 /// A journal that has not grown for so long is taken as a sign of death.
-const TAIL_QUIET: Duration = Duration::from_millis(500);
-const TAIL_PAGE: usize = 256;
+const JOURNAL_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
+const TAIL_PAGE_SIZE: usize = 256;
 
 impl Node {
     /// Takes shards over from an incarnation that the members call dead.
@@ -61,7 +61,7 @@
             _ => JournalTail { next, seen: Instant::now() },
         };
         self.suspects.borrow_mut().insert(incarnation, tail);
-        Ok(tail.seen.elapsed() >= TAIL_QUIET)
+        Ok(tail.seen.elapsed() >= JOURNAL_IDLE_TIMEOUT)
     }
 
     /// Ends an incarnation's right to write anything.
@@ -90,11 +90,11 @@
         let mut next = from;
         loop {
             let after = next.checked_sub(1).map(|last| batch_key(incarnation, last));
-            let page = self.table.scan(&prefix, after.as_deref(), TAIL_PAGE).await?;
+            let page = self.table.scan(&prefix, after.as_deref(), TAIL_PAGE_SIZE).await?;
             if let Some(last) = page.last().and_then(|row| parse_batch_key(&row.key)) {
                 next = last + 1;
             }
-            if page.len() < TAIL_PAGE {
+            if page.len() < TAIL_PAGE_SIZE {
                 return Ok(next);
             }
         }
