--- a/src/node/config_sync.rs
+++ b/src/node/config_sync.rs
@@ -6,7 +6,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::instance::Node;
-use super::journal::{CONFIG_HEAD, budget_key, is_open};
+use super::journal::{CONFIG_HEAD_KEY, budget_key, is_open};
 use super::platform::{CommitReply, RowKey, StoreError, TableTransaction, parse_row, scan_all};
 use crate::core::budget::BudgetRow;
 use crate::core::config::{
@@ -200,7 +200,7 @@
     }
 
     async fn read_head(&self) -> Result<ConfigVersion, StoreError> {
-        let found = self.table.read(&[CONFIG_HEAD.into()]).await?.pop().flatten();
+        let found = self.table.read(&[CONFIG_HEAD_KEY.into()]).await?.pop().flatten();
         found.map_or(Ok(0), |row| parse_row(&row))
     }
 
@@ -290,7 +290,7 @@
 
     /// One attempt; `None` if another change got in between.
     async fn try_change(&self, body: &ChangeBody) -> Result<Option<ConfigVersion>, ChangeError> {
-        let head_row = self.table.read(&[CONFIG_HEAD.into()]).await?.pop().flatten();
+        let head_row = self.table.read(&[CONFIG_HEAD_KEY.into()]).await?.pop().flatten();
         let head_version = head_row.as_ref().map_or(0, |row| row.version);
         let head: ConfigVersion = head_row.map_or(Ok(0), |row| parse_row(&row))?;
         if head != self.config.borrow().version() {
@@ -298,8 +298,8 @@
         }
         let change = ConfigChange { version: head + 1, stamp: self.stamp(), body: body.clone() };
         let mut transaction = TableTransaction::default()
-            .check(CONFIG_HEAD, head_version)
-            .put(CONFIG_HEAD, &change.version)
+            .check(CONFIG_HEAD_KEY, head_version)
+            .put(CONFIG_HEAD_KEY, &change.version)
             .put(log_key(change.version), &change)
             .put(object_key(body), &change);
         if let ChangeBody::Workspace(spec) = body {
--- a/src/node/grants.rs
+++ b/src/node/grants.rs
@@ -7,7 +7,8 @@
 
 use super::instance::Node;
 use super::journal::{
-    CONFIG_HEAD, MAX_RETRY_DELAY, MIN_RETRY_DELAY, UNFENCED, budget_key, incarnation_key,
+    CONFIG_HEAD_KEY, MAX_RETRY_DELAY, MIN_RETRY_DELAY, UNFENCED_VERSION, budget_key,
+    incarnation_key,
 };
 use super::platform::{RowKey, StoredRow, TableTransaction, parse_row};
 use crate::core::budget::{AccountRow, BudgetRow, DrawRequest};
@@ -80,11 +81,12 @@
         if workspaces.is_empty() {
             return BudgetRows::default();
         }
-        let mut keys: Vec<RowKey> = vec![CONFIG_HEAD.into(), incarnation_key(self.incarnation())];
+        let mut keys: Vec<RowKey> =
+            vec![CONFIG_HEAD_KEY.into(), incarnation_key(self.incarnation())];
         keys.extend(workspaces.iter().map(|workspace| budget_key(workspace)));
         let mut found = self.read_until_answered(&keys).await.into_iter();
         let head = found.next().flatten();
-        let fenced = found.next().flatten().is_some_and(|row| row.version != UNFENCED);
+        let fenced = found.next().flatten().is_some_and(|row| row.version != UNFENCED_VERSION);
         let head = Some(head.and_then(|row| parse_row(&row).ok()).unwrap_or(0));
         let mut budgets = BTreeMap::new();
         for (workspace, row) in workspaces.iter().zip(found) {
--- a/src/node/instance.rs
+++ b/src/node/instance.rs
@@ -10,7 +10,7 @@
 
 use super::calls::LiveCall;
 use super::engines::EngineDesk;
-use super::journal::{JournalWriter, UNFENCED, incarnation_key, run_journal};
+use super::journal::{JournalWriter, UNFENCED_VERSION, incarnation_key, run_journal};
 use super::metrics::{NodeMetrics, NodeSample};
 use super::ownership::{JournalTail, SegmentIndex};
 use super::peers::{PeerNetwork, TimedPeers};
@@ -400,7 +400,7 @@
 
     /// Makes a transaction fail once this incarnation has been fenced.
     pub(crate) fn fenced(&self, transaction: TableTransaction) -> TableTransaction {
-        transaction.check(incarnation_key(self.incarnation()), UNFENCED)
+        transaction.check(incarnation_key(self.incarnation()), UNFENCED_VERSION)
     }
 }
 
--- a/src/node/journal.rs
+++ b/src/node/journal.rs
@@ -85,10 +85,10 @@
 }
 
 /// Row that holds the number of the last configuration change.
-pub(crate) const CONFIG_HEAD: &str = "config/head";
+pub(crate) const CONFIG_HEAD_KEY: &str = "config/head";
 
 /// Version an incarnation's row has until it is fenced.
-pub(crate) const UNFENCED: u64 = 1;
+pub(crate) const UNFENCED_VERSION: u64 = 1;
 
 /// Commits that may follow at once before they are paced; under steady load they are.
 const MAX_COMMIT_BURST: u32 = 8;
@@ -292,7 +292,7 @@
     let key = batch_key(incarnation, sequence);
     let transaction = TableTransaction::default()
         .check(key.clone(), 0)
-        .check(incarnation_key(incarnation), UNFENCED)
+        .check(incarnation_key(incarnation), UNFENCED_VERSION)
         // Every batch writes the account's row once. A duplicate of an old attempt that comes late,
         // after its batch was trimmed, would else put back a lower ceiling than was spent.
         .check(account_key(incarnation), sequence);
--- a/src/node/ownership/collect.rs
+++ b/src/node/ownership/collect.rs
@@ -6,7 +6,7 @@
 use crate::core::ownership::IncarnationRow;
 use crate::node::batch::BatchRow;
 use crate::node::instance::Node;
-use crate::node::journal::{UNFENCED, incarnation_key, journal_prefix};
+use crate::node::journal::{UNFENCED_VERSION, incarnation_key, journal_prefix};
 use crate::node::platform::{StoreError, TableTransaction, parse_row, scan_all};
 
 const INCARNATION_PREFIX: &str = "incarnation/";
@@ -39,7 +39,7 @@
             if needed.contains(&row.incarnation) || !self.collects(row.incarnation) {
                 continue;
             }
-            if row.version != UNFENCED {
+            if row.version != UNFENCED_VERSION {
                 self.collect(row).await?;
             } else if newest[&row.instance] > row.incarnation {
                 self.fence(row.incarnation).await?;
--- a/src/node/ownership/mod.rs
+++ b/src/node/ownership/mod.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::instance::Node;
-use super::journal::{UNFENCED, account_key, incarnation_key};
+use super::journal::{UNFENCED_VERSION, account_key, incarnation_key};
 use super::platform::{CommitReply, RowKey, StoreError, TableTransaction, parse_row, scan_all};
 use crate::core::ids::{Incarnation, ShardId};
 use crate::core::ownership::{ShardPhase, ShardRow, ShardView};
@@ -76,7 +76,7 @@
     pub(crate) async fn confirm_unfenced(&self) -> Result<bool, StoreError> {
         let epoch = self.incarnation();
         let found = self.table.read(&[incarnation_key(epoch)]).await?.pop().flatten();
-        let unfenced = found.is_some_and(|row| row.version == UNFENCED);
+        let unfenced = found.is_some_and(|row| row.version == UNFENCED_VERSION);
         if !unfenced && epoch == self.incarnation() {
             self.note_fenced();
         }
--- a/src/node/ownership/takeover.rs
+++ b/src/node/ownership/takeover.rs
@@ -10,7 +10,8 @@
 use crate::core::ownership::IncarnationRow;
 use crate::node::instance::Node;
 use crate::node::journal::{
-    UNFENCED, account_key, batch_key, budget_key, incarnation_key, journal_prefix, stranded_key,
+    UNFENCED_VERSION, account_key, batch_key, budget_key, incarnation_key, journal_prefix,
+    stranded_key,
 };
 use crate::node::platform::{RowKey, StoreError, TableTransaction, parse_row};
 
@@ -70,12 +71,13 @@
         let Some(found) = self.table.read(std::slice::from_ref(&key)).await?.pop().flatten() else {
             return Ok(());
         };
-        if found.version != UNFENCED {
+        if found.version != UNFENCED_VERSION {
             return Ok(());
         }
         let mut row: IncarnationRow = parse_row(&found)?;
         row.fenced_by = Some(self.incarnation());
-        let transaction = TableTransaction::default().check(key.clone(), UNFENCED).put(key, &row);
+        let transaction =
+            TableTransaction::default().check(key.clone(), UNFENCED_VERSION).put(key, &row);
         self.metrics.store_write();
         self.table.commit(&transaction).await?;
         self.event("incarnation_fenced")
