--- a/src/node/audit.rs
+++ b/src/node/audit.rs
@@ -9,7 +9,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::instance::Node;
-use super::journal::{ACCOUNT_PREFIX, STRANDED_PREFIX, budget_key, incarnation_key};
+use super::journal::{ACCOUNT_PREFIX, UNRESOLVED_PREFIX, budget_key, incarnation_key};
 use super::platform::{
     KeyedRow, RosterEntry, RosterRole, RowKey, StoreError, TableTransaction, parse_row, scan_all,
 };
@@ -105,8 +105,8 @@
         &self,
         answers: &mut BTreeMap<Incarnation, CostsByEngine>,
     ) -> Result<(), StoreError> {
-        for found in scan_all(&*self.table, STRANDED_PREFIX).await? {
-            let Some(incarnation) = parse_incarnation(&found, STRANDED_PREFIX) else { continue };
+        for found in scan_all(&*self.table, UNRESOLVED_PREFIX).await? {
+            let Some(incarnation) = parse_incarnation(&found, UNRESOLVED_PREFIX) else { continue };
             let row: UnresolvedSpending = parse_row(&found.row)?;
             let costs = answers.entry(incarnation).or_default();
             self.ask_engines(incarnation, &row, costs).await;
--- a/src/node/journal.rs
+++ b/src/node/journal.rs
@@ -74,10 +74,10 @@
 
 pub(crate) const ACCOUNT_PREFIX: &str = "account/";
 /// Rows of what fenced incarnations may have spent, until the engines have been asked.
-pub(crate) const STRANDED_PREFIX: &str = "stranded/";
+pub(crate) const UNRESOLVED_PREFIX: &str = "stranded/";
 
-pub(crate) fn stranded_key(incarnation: Incarnation) -> RowKey {
-    format!("{STRANDED_PREFIX}{incarnation:012}").into()
+pub(crate) fn unresolved_key(incarnation: Incarnation) -> RowKey {
+    format!("{UNRESOLVED_PREFIX}{incarnation:012}").into()
 }
 
 pub(crate) fn budget_key(workspace: &str) -> RowKey {
--- a/src/node/ownership/takeover.rs
+++ b/src/node/ownership/takeover.rs
@@ -11,7 +11,7 @@
 use crate::node::instance::Node;
 use crate::node::journal::{
     UNFENCED_VERSION, account_key, batch_key, budget_key, incarnation_key, journal_prefix,
-    stranded_key,
+    unresolved_key,
 };
 use crate::node::platform::{RowKey, StoreError, TableTransaction, parse_row};
 
@@ -125,10 +125,10 @@
                 let next = BudgetRow { drawn, spent, ..budget };
                 transaction = transaction.check(key.clone(), row.version).put(key.clone(), &next);
             }
-            let stranded = self.stranded_row(&account);
-            if !stranded.workspaces.is_empty() {
-                let key = stranded_key(incarnation);
-                transaction = transaction.check(key.clone(), 0).put(key, &stranded);
+            let unresolved = self.unresolved_spending(&account);
+            if !unresolved.workspaces.is_empty() {
+                let key = unresolved_key(incarnation);
+                transaction = transaction.check(key.clone(), 0).put(key, &unresolved);
             }
             self.metrics.store_write();
             // A conflict or a lost reply: look again whether the account is still there.
@@ -136,7 +136,7 @@
         }
     }
 
-    fn stranded_row(&self, account: &AccountRow) -> UnresolvedSpending {
+    fn unresolved_spending(&self, account: &AccountRow) -> UnresolvedSpending {
         let uncertain = account.workspaces.iter().filter(|(_, held)| held.uncertain() > 0);
         UnresolvedSpending {
             workspaces: uncertain.map(|(id, held)| (id.clone(), held.uncertain())).collect(),
