--- a/src/node/calls/hold.rs
+++ b/src/node/calls/hold.rs
@@ -23,7 +23,7 @@
     /// that nobody may be given before the table is back. Callers learn at once that it did not
     /// run and when to return; the wait grows with the outage, so that they do not crowd.
     pub(crate) fn check_store(&self) -> Result<(), CallRefusal> {
-        let Some(failing) = self.journal.failing_for() else { return Ok(()) };
+        let Some(failing) = self.journal.outage_duration() else { return Ok(()) };
         if failing < self.settings.limits.store_bound() {
             return Ok(());
         }
--- a/src/node/config_sync.rs
+++ b/src/node/config_sync.rs
@@ -113,14 +113,14 @@
             && self.config_age() < FALLBACK_AGE
         {
             // Somebody has read the table a moment ago: it answers.
-            self.journal.set_unread(false);
+            self.journal.set_read_failing(false);
             let actions = self.members.borrow_mut().ping(&source, Instant::now());
             self.perform(actions);
             return;
         }
         let read_at = Instant::now();
         let answer = self.read_head().await;
-        self.journal.set_unread(answer.is_err());
+        self.journal.set_read_failing(answer.is_err());
         if let Ok(head) = answer {
             self.saw_config_head(head, read_at);
         }
--- a/src/node/instance.rs
+++ b/src/node/instance.rs
@@ -327,7 +327,7 @@
             spent: totals.spent,
             programs: self.book.borrow().len() as u64,
             shards: self.serving_shards().len() as u64,
-            store_outage: self.journal.failing_for().unwrap_or_default(),
+            store_outage: self.journal.outage_duration().unwrap_or_default(),
         });
     }
 
--- a/src/node/journal.rs
+++ b/src/node/journal.rs
@@ -49,7 +49,7 @@
     failing_since: Cell<Option<Instant>>,
     /// Set while the table has not answered the last regular read. An instance without calls
     /// writes nothing that could fail.
-    unread_since: Cell<Option<Instant>>,
+    read_failing_since: Cell<Option<Instant>>,
     /// This incarnation is known to be fenced, though no batch of it has met the fence yet.
     fenced: Cell<bool>,
     last_commit: Cell<Option<Instant>>,
@@ -138,15 +138,15 @@
     }
 
     /// How long the table has not answered.
-    pub(crate) fn failing_for(&self) -> Option<Duration> {
-        let since = [self.failing_since.get(), self.unread_since.get()];
+    pub(crate) fn outage_duration(&self) -> Option<Duration> {
+        let since = [self.failing_since.get(), self.read_failing_since.get()];
         since.into_iter().flatten().min().map(|since| since.elapsed())
     }
 
     /// Notes whether a regular read went unanswered.
-    pub(crate) fn set_unread(&self, failing: bool) {
-        let since = self.unread_since.get().unwrap_or_else(Instant::now);
-        self.unread_since.set(failing.then_some(since));
+    pub(crate) fn set_read_failing(&self, failing: bool) {
+        let since = self.read_failing_since.get().unwrap_or_else(Instant::now);
+        self.read_failing_since.set(failing.then_some(since));
     }
 
     /// When a batch was last written; this incarnation was not fenced then.
@@ -194,10 +194,10 @@
 struct JournalCommit {
     transaction: TableTransaction,
     grants: GrantPlan,
-    built: Instant,
+    built_at: Instant,
 }
 
-enum CommitEnd {
+enum CommitOutcome {
     Committed,
     Fenced(JournalError),
     /// A row it draws on has changed: build it anew.
@@ -206,10 +206,10 @@
 
 /// What became of a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum BatchEnd {
+enum BatchOutcome {
     Written,
     /// It held no record and could change no grant.
-    Unneeded,
+    Skipped,
 }
 
 /// Writes the journal until the process ends; a fenced incarnation is replaced by a new one.
@@ -243,7 +243,7 @@
         records.iter().map(|record| shard_of(record.program())).collect();
     let waiters = std::mem::take(&mut *journal.waiters.borrow_mut());
     let result = commit_records(node, &records).await;
-    if result == Ok(BatchEnd::Written) {
+    if result == Ok(BatchOutcome::Written) {
         let mut book = node.book.borrow_mut();
         for record in &records {
             book.apply(record);
@@ -262,31 +262,31 @@
 async fn commit_records(
     node: &Rc<Node>,
     records: &[JournalRecord],
-) -> Result<BatchEnd, JournalError> {
+) -> Result<BatchOutcome, JournalError> {
     loop {
         let commit = build_commit(node, records).await;
         if records.is_empty() && !commit.grants.needed {
             // Calls of a spent workspace ask its row again and again; only reads pay for that.
             node.grants_refused(&commit.grants);
-            return Ok(BatchEnd::Unneeded);
+            return Ok(BatchOutcome::Skipped);
         }
-        match commit_until_known(node, &commit).await {
-            CommitEnd::Committed => {
+        match commit_with_retries(node, &commit).await {
+            CommitOutcome::Committed => {
                 node.grants_committed(&commit.grants);
                 if let Some(head) = commit.grants.head {
-                    node.saw_config_head(head, commit.built);
+                    node.saw_config_head(head, commit.built_at);
                 }
-                return Ok(BatchEnd::Written);
+                return Ok(BatchOutcome::Written);
             }
-            CommitEnd::Fenced(error) => return Err(error),
+            CommitOutcome::Fenced(error) => return Err(error),
             // Others draw on the same budget: writing again at once would only crowd the table.
-            CommitEnd::Outdated => sleep(node.settings.limits.commit_interval()).await,
+            CommitOutcome::Outdated => sleep(node.settings.limits.commit_interval()).await,
         }
     }
 }
 
 async fn build_commit(node: &Rc<Node>, records: &[JournalRecord]) -> JournalCommit {
-    let built = Instant::now();
+    let built_at = Instant::now();
     let incarnation = node.incarnation();
     let sequence = node.journal.next_sequence();
     let key = batch_key(incarnation, sequence);
@@ -302,7 +302,7 @@
         node.journal.objects.borrow_mut().insert(sequence, object.clone());
     }
     let transaction = transaction.put(key, &batch).put(account_key(incarnation), grants.account());
-    JournalCommit { transaction, grants, built }
+    JournalCommit { transaction, grants, built_at }
 }
 
 /// Repeats one transaction until it is known whether it took effect.
@@ -310,7 +310,7 @@
 /// A lost reply leaves open whether the write happened. Only this incarnation writes the batch's
 /// row, so a conflict on it means that an earlier attempt succeeded; a conflict on any other row
 /// dooms all attempts alike, a delayed one included, because versions only rise.
-async fn commit_until_known(node: &Rc<Node>, commit: &JournalCommit) -> CommitEnd {
+async fn commit_with_retries(node: &Rc<Node>, commit: &JournalCommit) -> CommitOutcome {
     let incarnation = node.incarnation();
     let batch = batch_key(incarnation, node.journal.next_sequence());
     let mut retry = MIN_RETRY_DELAY;
@@ -325,9 +325,9 @@
             Ok(CommitReply::Committed) => break,
             Ok(reply) if reply.conflicts_on(&batch) => break,
             Ok(reply) if reply.conflicts_on(&incarnation_key(incarnation)) => {
-                return CommitEnd::Fenced(fenced);
+                return CommitOutcome::Fenced(fenced);
             }
-            Ok(_) => return CommitEnd::Outdated,
+            Ok(_) => return CommitOutcome::Outdated,
             Err(error) => {
                 if is_open(&error) {
                     fenced = JournalError::Open;
@@ -338,7 +338,7 @@
         sleep(retry).await;
         retry = (retry * 2).min(MAX_RETRY_DELAY);
     }
-    CommitEnd::Committed
+    CommitOutcome::Committed
 }
 
 /// Whether a write failed for a reason that leaves its effect open.
