--- a/src/node/calls/service.rs
+++ b/src/node/calls/service.rs
@@ -98,7 +98,7 @@
                 return CallConclusion::refused(refusal);
             }
             // Nothing was sent, but the intent may stand, and the next owner will not send it.
-            Err(JournalError::Open) => {
+            Err(JournalError::Indeterminate) => {
                 let outcome = unknown("the call's owner was lost while it recorded the call", true);
                 return CallConclusion { outcome, records: Vec::new(), lasting: false };
             }
--- a/src/node/config_sync.rs
+++ b/src/node/config_sync.rs
@@ -6,7 +6,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::instance::Node;
-use super::journal::{CONFIG_HEAD_KEY, budget_key, is_open};
+use super::journal::{CONFIG_HEAD_KEY, budget_key, is_indeterminate};
 use super::platform::{CommitReply, RowKey, StoreError, TableTransaction, parse_row, scan_all};
 use crate::core::budget::BudgetRow;
 use crate::core::config::{
@@ -337,7 +337,7 @@
                     Err(error) => last = error,
                 },
                 Err(error) => {
-                    lost |= is_open(&error);
+                    lost |= is_indeterminate(&error);
                     last = error;
                 }
             }
--- a/src/node/journal.rs
+++ b/src/node/journal.rs
@@ -26,7 +26,7 @@
     /// As above, and an earlier attempt to write the records had lost its reply: they may have
     /// been written, read by the next owner and deleted again since.
     #[display("this incarnation has been fenced while a write of it was open")]
-    Open,
+    Indeterminate,
 }
 
 type Waiter = oneshot::Sender<Result<(), JournalError>>;
@@ -329,8 +329,8 @@
             }
             Ok(_) => return CommitOutcome::Outdated,
             Err(error) => {
-                if is_open(&error) {
-                    fenced = JournalError::Open;
+                if is_indeterminate(&error) {
+                    fenced = JournalError::Indeterminate;
                 }
                 node.event("commit_retried").detail(error.to_string()).log();
             }
@@ -342,6 +342,6 @@
 }
 
 /// Whether a write failed for a reason that leaves its effect open.
-pub(crate) fn is_open(error: &StoreError) -> bool {
+pub(crate) fn is_indeterminate(error: &StoreError) -> bool {
     matches!(error, StoreError::ReplyLost | StoreError::Malformed { .. })
 }
--- a/src/node/programs.rs
+++ b/src/node/programs.rs
@@ -278,7 +278,7 @@
 fn write_failure(error: JournalError) -> RequestFailure {
     match error {
         JournalError::Fenced => moving().into(),
-        JournalError::Open => RequestFailure::unknown(OWNER_LOST),
+        JournalError::Indeterminate => RequestFailure::unknown(OWNER_LOST),
     }
 }
 
