--- a/src/node/audit.rs
+++ b/src/node/audit.rs
@@ -72,7 +72,7 @@
         watched.extend(&living);
         let gone: Vec<_> = watched.difference(&living).copied().collect();
         for incarnation in gone {
-            if self.is_over(incarnation).await? && self.is_quiet(incarnation).await? {
+            if self.is_over(incarnation).await? && self.is_journal_idle(incarnation).await? {
                 self.fence(incarnation).await?;
                 self.close_account(incarnation).await?;
                 self.suspects.borrow_mut().remove(&incarnation);
--- a/src/node/calls/submit.rs
+++ b/src/node/calls/submit.rs
@@ -93,7 +93,7 @@
         program: ProgramId,
         number: CallNumber,
     ) -> Result<Rc<LiveCall>, CallRefusal> {
-        self.fill_turns(program).await?;
+        self.load_program_turns(program).await?;
         match self.find_call(program, number) {
             Err(refusal) if is_stateful(&refusal.reason) => {
                 self.confirm_owner(program).await?;
@@ -135,7 +135,7 @@
             changed.as_mut().enable();
             match self.admit(&request)? {
                 Admission::Run => return self.run(request, deadline),
-                Admission::LoadTurns => self.fill_turns(request.program).await?,
+                Admission::LoadTurns => self.load_program_turns(request.program).await?,
                 Admission::Attach => return self.find_call(request.program, request.number),
                 Admission::Recorded(outcome) => return Ok(LiveCall::done(outcome)),
                 Admission::Refuse(reason) if is_stateful(&reason) && !confirmed => {
--- a/src/node/ownership/segments.rs
+++ b/src/node/ownership/segments.rs
@@ -191,7 +191,7 @@
 
 impl Node {
     /// Reads the older turns of a program that was taken over, when it is first asked for.
-    pub(crate) async fn fill_turns(&self, program: ProgramId) -> Result<(), CallRefusal> {
+    pub(crate) async fn load_program_turns(&self, program: ProgramId) -> Result<(), CallRefusal> {
         let segments = {
             let book = self.book.borrow();
             book.get(program).map(ProgramRecord::unloaded_segments).unwrap_or_default()
--- a/src/node/ownership/takeover.rs
+++ b/src/node/ownership/takeover.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct JournalTail {
     next: u64,
-    seen: Instant,
+    seen_at: Instant,
 }
 
 /// A journal that has not grown for so long is taken as a sign of death.
@@ -37,7 +37,7 @@
         incarnation: Incarnation,
         shards: &[ShardId],
     ) -> Result<(), StoreError> {
-        if !self.is_quiet(incarnation).await? {
+        if !self.is_journal_idle(incarnation).await? {
             return Ok(());
         }
         self.fence(incarnation).await?;
@@ -54,15 +54,18 @@
         Ok(())
     }
 
-    pub(crate) async fn is_quiet(&self, incarnation: Incarnation) -> Result<bool, StoreError> {
+    pub(crate) async fn is_journal_idle(
+        &self,
+        incarnation: Incarnation,
+    ) -> Result<bool, StoreError> {
         let known = self.suspects.borrow().get(&incarnation).copied();
         let next = self.journal_end(incarnation, known.map_or(0, |tail| tail.next)).await?;
         let tail = match known {
             Some(tail) if tail.next == next => tail,
-            _ => JournalTail { next, seen: Instant::now() },
+            _ => JournalTail { next, seen_at: Instant::now() },
         };
         self.suspects.borrow_mut().insert(incarnation, tail);
-        Ok(tail.seen.elapsed() >= JOURNAL_IDLE_TIMEOUT)
+        Ok(tail.seen_at.elapsed() >= JOURNAL_IDLE_TIMEOUT)
     }
 
     /// Ends an incarnation's right to write anything.
--- a/src/node/programs.rs
+++ b/src/node/programs.rs
@@ -248,7 +248,7 @@
     /// Reads the state of a program that is served here, as JSON.
     pub async fn show_here(&self, program: ProgramId) -> Result<Box<str>, CallRefusal> {
         self.confirm_owner(program).await?;
-        self.fill_turns(program).await?;
+        self.load_program_turns(program).await?;
         let book = self.book.borrow();
         let unknown = CallRefusal::permanent(RefusalReason::UnknownProgram);
         let view = self.view(book.get(program).ok_or(unknown)?);
