--- a/src/node/ownership/checkpoint.rs
+++ b/src/node/ownership/checkpoint.rs
@@ -27,7 +27,7 @@
             let mut last = 0;
             while !self.is_stopped() {
                 sleep(interval).await;
-                self.purge_ended();
+                self.remove_expired_programs();
                 if epoch != self.incarnation() {
                     (epoch, trimmed, last) = (self.incarnation(), 0, 0);
                 }
@@ -35,7 +35,7 @@
                     self.event("collection_failed").detail(error.to_string()).log();
                 }
                 let sequence = self.journal.next_sequence();
-                if sequence == last && !self.leans_on_others() {
+                if sequence == last && !self.depends_on_other_journals() {
                     continue;
                 }
                 match self.checkpoint().await {
@@ -52,7 +52,7 @@
         });
     }
 
-    fn purge_ended(&self) {
+    fn remove_expired_programs(&self) {
         let before = self.wall().saturating_sub(self.settings.limits.retention());
         self.book.borrow_mut().remove_expired(before.as_millis() as u64);
     }
@@ -87,12 +87,12 @@
         let object = object_name("checkpoint", epoch, &body);
         let bytes = body.len() + plan.bytes();
         let puts = plan.objects.len() + 1;
-        self.reclaim_plan(&plan, &object);
+        self.unmark_plan_garbage(&plan, &object);
         if let Err(error) = self.put_objects(&plan, &object, body.into()).await {
-            self.discard_plan(&plan, &object, &BTreeSet::new());
+            self.mark_plan_garbage(&plan, &object, &BTreeSet::new());
             return Err(error);
         }
-        let former = self.checkpoint_objects(&shards);
+        let previous = self.checkpoint_objects(&shards);
         let mut transaction = self.fenced(TableTransaction::default());
         let unchanged = self.served_views();
         // A shard may have been handed over while the object was stored. Its row then names
@@ -110,10 +110,10 @@
         }
         // A conflict is no proof that nothing was written: a table's client may have tried twice.
         if self.commit_fenced(&transaction).await == Ok(CommitReply::Committed) {
-            self.discard_plan(&plan, &object, &included);
+            self.mark_plan_garbage(&plan, &object, &included);
         } else {
             let names = plan.objects.iter().map(|part| part.name.clone());
-            self.segments.borrow_mut().leave_alone(names.chain([object.clone()]));
+            self.segments.borrow_mut().record_indeterminate(names.chain([object.clone()]));
         }
         self.reread_shards(&shards).await?;
         let written: Vec<ShardId> = {
@@ -127,14 +127,14 @@
         if written.is_empty() {
             return Ok(());
         }
-        self.segments.borrow_mut().stored(&written, &plan, former);
+        self.segments.borrow_mut().record_checkpoint(&written, &plan, previous);
         let lists = plan.lists.into_iter().filter(|list| written.contains(&shard_of(list.program)));
         for list in lists {
             if let Some(program) = self.book.borrow_mut().get_mut(list.program) {
                 program.segments = list.segments;
             }
         }
-        self.drop_garbage().await?;
+        self.delete_garbage().await?;
         let count = checkpoint.programs.len();
         let detail = format!("programs={count} next={sequence} bytes={bytes} objects={puts}");
         self.event("checkpoint_written").detail(detail).log();
@@ -160,24 +160,29 @@
     /// They are named by content. A checkpoint whose objects could not all be stored gave its names
     /// up; the next one, with the same turns, uses them again. If its reply is lost and a shard moves
     /// on with them, nobody here sees that they are in use: deleted, that history would be gone.
-    fn reclaim_plan(&self, plan: &SegmentPlan, object: &ObjectName) {
+    fn unmark_plan_garbage(&self, plan: &SegmentPlan, object: &ObjectName) {
         let mut index = self.segments.borrow_mut();
-        index.reclaim(plan.objects.iter().map(|part| &part.name).chain([object]));
+        index.unmark_garbage(plan.objects.iter().map(|part| &part.name).chain([object]));
     }
 
     /// Gives up the objects of a plan, except for those of `included` shards.
-    fn discard_plan(&self, plan: &SegmentPlan, object: &ObjectName, included: &BTreeSet<ShardId>) {
+    fn mark_plan_garbage(
+        &self,
+        plan: &SegmentPlan,
+        object: &ObjectName,
+        included: &BTreeSet<ShardId>,
+    ) {
         let unused = plan.objects.iter().filter(|part| !included.contains(&part.shard));
         let mut index = self.segments.borrow_mut();
-        index.discard(unused.map(|part| part.name.clone()));
+        index.mark_garbage(unused.map(|part| part.name.clone()));
         if included.is_empty() {
-            index.discard([object.clone()]);
+            index.mark_garbage([object.clone()]);
         }
     }
 
     /// Whether a served shard still needs the journal of an earlier owner. Without a checkpoint
     /// of its own, an instance that has no calls would keep the rows of the dead for ever.
-    fn leans_on_others(&self) -> bool {
+    fn depends_on_other_journals(&self) -> bool {
         let me = self.incarnation();
         let views = self.served_views();
         views.values().flat_map(|view| &view.row.spans).any(|span| span.incarnation != me)
@@ -203,7 +208,7 @@
     /// before the object was made does not name it, and the object would be deleted while that
     /// shard needs it. So all rows are read first. That is enough: the one transaction that put
     /// the object into rows has happened, as one of its rows has come here.
-    async fn drop_garbage(&self) -> Result<(), StoreError> {
+    async fn delete_garbage(&self) -> Result<(), StoreError> {
         self.scan_shards().await?;
         let all: Vec<ShardId> = (0..self.settings.shards).collect();
         let used = self.checkpoint_objects(&all);
@@ -216,7 +221,7 @@
                 failed.insert(object);
             }
         }
-        self.segments.borrow_mut().keep_garbage(failed);
+        self.segments.borrow_mut().restore_garbage(failed);
         Ok(())
     }
 
@@ -231,7 +236,7 @@
         if incarnation != self.incarnation() {
             return Ok(from);
         }
-        let until = self.first_needed(incarnation).min(written);
+        let until = self.first_needed_batch(incarnation).min(written);
         let mut next = from;
         while next < until {
             let end = until.min(next + MAX_TRIM_BATCHES);
@@ -239,7 +244,7 @@
             for sequence in next..end {
                 transaction = transaction.delete(batch_key(incarnation, sequence));
             }
-            self.drop_batch_objects(end).await;
+            self.delete_batch_objects(end).await;
             self.commit_fenced(&transaction).await?;
             next = end;
         }
@@ -248,16 +253,16 @@
 
     /// Deletes the objects of batches below `until` before their rows, so that a crash in between
     /// leaves rows to find them by.
-    async fn drop_batch_objects(&self, until: u64) {
+    async fn delete_batch_objects(&self, until: u64) {
         for object in self.journal.take_objects(until) {
             self.metrics.store_write();
             if self.objects.delete(&object).await.is_err() {
-                self.segments.borrow_mut().discard([object]);
+                self.segments.borrow_mut().mark_garbage([object]);
             }
         }
     }
 
-    fn first_needed(&self, incarnation: Incarnation) -> u64 {
+    fn first_needed_batch(&self, incarnation: Incarnation) -> u64 {
         let table = self.shards.borrow();
         let first = |row: &ShardRow| {
             let spans = row.spans.iter().filter(|span| span.incarnation == incarnation);
--- a/src/node/ownership/load.rs
+++ b/src/node/ownership/load.rs
@@ -134,7 +134,7 @@
         for shard in shards {
             self.book.borrow_mut().remove_shard(*shard);
         }
-        self.segments.borrow_mut().loaded(shards, &programs);
+        self.segments.borrow_mut().record_loaded(shards, &programs);
         for mut program in programs {
             program.last_active = Some(now);
             self.book.borrow_mut().insert(program);
--- a/src/node/ownership/segments.rs
+++ b/src/node/ownership/segments.rs
@@ -119,12 +119,12 @@
     /// Objects that the next successful checkpoint may delete unless a row names them.
     garbage: BTreeSet<ObjectName>,
     /// Objects of checkpoints whose transaction may have taken effect.
-    unanswered: BTreeSet<ObjectName>,
+    indeterminate: BTreeSet<ObjectName>,
 }
 
 impl SegmentIndex {
     /// Shards were loaded with these programs.
-    pub(super) fn loaded(&mut self, shards: &[ShardId], programs: &[ProgramRecord]) {
+    pub(super) fn record_loaded(&mut self, shards: &[ShardId], programs: &[ProgramRecord]) {
         for shard in shards {
             self.shards.insert(*shard, BTreeSet::new());
         }
@@ -141,39 +141,39 @@
     ///
     /// A later checkpoint with the same turns has objects of the same names. If it fails before its
     /// transaction, it would else give up what the earlier one may have put into rows.
-    pub(super) fn discard(&mut self, objects: impl IntoIterator<Item = ObjectName>) {
-        let unused = objects.into_iter().filter(|object| !self.unanswered.contains(object));
+    pub(super) fn mark_garbage(&mut self, objects: impl IntoIterator<Item = ObjectName>) {
+        let unused = objects.into_iter().filter(|object| !self.indeterminate.contains(object));
         self.garbage.extend(unused);
     }
 
     /// Keeps objects that rows may name, though nobody here has seen it.
-    pub(super) fn leave_alone(&mut self, objects: impl IntoIterator<Item = ObjectName>) {
-        self.unanswered.extend(objects);
+    pub(super) fn record_indeterminate(&mut self, objects: impl IntoIterator<Item = ObjectName>) {
+        self.indeterminate.extend(objects);
     }
 
     /// Objects that are about to be stored, again perhaps, and referred to.
-    pub(super) fn reclaim<'a>(&mut self, objects: impl IntoIterator<Item = &'a ObjectName>) {
+    pub(super) fn unmark_garbage<'a>(&mut self, objects: impl IntoIterator<Item = &'a ObjectName>) {
         for object in objects {
             self.garbage.remove(object);
         }
     }
 
     /// A checkpoint stands in the rows of these shards. `former` are objects they named before.
-    pub(super) fn stored(
+    pub(super) fn record_checkpoint(
         &mut self,
         shards: &[ShardId],
         plan: &SegmentPlan,
-        former: BTreeSet<ObjectName>,
+        previous: BTreeSet<ObjectName>,
     ) {
-        self.garbage.extend(former);
+        self.garbage.extend(previous);
         for shard in shards {
             let lists = plan.lists.iter().filter(|list| shard_of(list.program) == *shard);
             let used: BTreeSet<ObjectName> = lists
                 .flat_map(|list| list.segments.iter().map(|segment| segment.object.clone()))
                 .collect();
-            self.unanswered.retain(|object| !used.contains(object));
-            let former = self.shards.insert(*shard, used.clone()).unwrap_or_default();
-            self.garbage.extend(former.difference(&used).cloned());
+            self.indeterminate.retain(|object| !used.contains(object));
+            let previous = self.shards.insert(*shard, used.clone()).unwrap_or_default();
+            self.garbage.extend(previous.difference(&used).cloned());
             self.garbage.retain(|object| !used.contains(object));
         }
     }
@@ -184,7 +184,7 @@
     }
 
     /// Puts back what could not be deleted.
-    pub(super) fn keep_garbage(&mut self, objects: BTreeSet<ObjectName>) {
+    pub(super) fn restore_garbage(&mut self, objects: BTreeSet<ObjectName>) {
         self.garbage.extend(objects);
     }
 }
