--- a/src/node/ownership/segments.rs
+++ b/src/node/ownership/segments.rs
@@ -31,9 +31,9 @@
     epoch: Incarnation,
     pub(super) objects: Vec<PlannedObject>,
     pub(super) lists: Vec<SegmentList>,
-    open: SegmentObject,
-    open_bytes: usize,
-    shard: Vec<SegmentList>,
+    pending: SegmentObject,
+    pending_bytes: usize,
+    shard_lists: Vec<SegmentList>,
 }
 
 /// A name that no other content and no other incarnation gives.
@@ -50,9 +50,9 @@
             epoch,
             objects: Vec::new(),
             lists: Vec::new(),
-            open: SegmentObject::default(),
-            open_bytes: 0,
-            shard: Vec::new(),
+            pending: SegmentObject::default(),
+            pending_bytes: 0,
+            shard_lists: Vec::new(),
         }
     }
 
@@ -67,12 +67,12 @@
             true => (Vec::new(), &program.turns[..]),
             false => (program.segments.clone(), program.unstored_turns()),
         };
-        self.shard.push(SegmentList { program: program.id, segments: kept });
+        self.shard_lists.push(SegmentList { program: program.id, segments: kept });
         if !turns.is_empty() {
-            self.open_bytes += turns.iter().map(turn_bytes).sum::<usize>();
-            self.open.programs.insert(program.id, turns.to_vec());
+            self.pending_bytes += turns.iter().map(turn_bytes).sum::<usize>();
+            self.pending.programs.insert(program.id, turns.to_vec());
         }
-        if self.open_bytes >= TARGET_SEGMENT_BYTES {
+        if self.pending_bytes >= TARGET_SEGMENT_BYTES {
             self.close_object(shard_of(program.id));
         }
     }
@@ -80,22 +80,22 @@
     /// Ends a shard: its objects hold no other shard's programs. Gives its programs' segments.
     pub(super) fn close_shard(&mut self, shard: ShardId) -> Vec<SegmentList> {
         self.close_object(shard);
-        let lists = std::mem::take(&mut self.shard);
+        let lists = std::mem::take(&mut self.shard_lists);
         debug_assert!(lists.iter().all(|list| shard_of(list.program) == shard));
         self.lists.extend(lists.iter().cloned());
         lists
     }
 
     fn close_object(&mut self, shard: ShardId) {
-        let open = std::mem::take(&mut self.open);
-        self.open_bytes = 0;
-        if open.programs.is_empty() {
+        let pending = std::mem::take(&mut self.pending);
+        self.pending_bytes = 0;
+        if pending.programs.is_empty() {
             return;
         }
-        let body = serde_json::to_vec(&open).expect("turns serialize");
+        let body = serde_json::to_vec(&pending).expect("turns serialize");
         let name = object_name("segment", self.epoch, &body);
-        for list in &mut self.shard {
-            if let Some(turns) = open.programs.get(&list.program) {
+        for list in &mut self.shard_lists {
+            if let Some(turns) = pending.programs.get(&list.program) {
                 let turns = turns.len() as u32;
                 list.segments.push(SegmentRef { object: name.clone(), turns });
             }
