--- a/src/node/ownership/mod.rs
+++ b/src/node/ownership/mod.rs
@@ -99,7 +99,7 @@
 
     /// An instance without calls writes nothing, so no failed write tells it that it was fenced.
     /// It would keep its shards unserved by anyone, as the others see it alive.
-    async fn look_for_fence(&self) -> Result<(), StoreError> {
+    async fn check_fence_when_idle(&self) -> Result<(), StoreError> {
         let recent = self.journal.last_commit().is_some_and(|last| last.elapsed() < SCAN_INTERVAL);
         if !recent {
             self.confirm_unfenced().await?;
@@ -109,7 +109,7 @@
 
     /// Reads all shard rows.
     pub(crate) async fn scan_shards(&self) -> Result<(), StoreError> {
-        self.look_for_fence().await?;
+        self.check_fence_when_idle().await?;
         for found in scan_all(&*self.table, SHARD_PREFIX).await? {
             let Some(shard) = parse_shard_key(&found.key) else { continue };
             let row: ShardRow = parse_row(&found.row)?;
@@ -137,8 +137,8 @@
             return Ok(());
         }
         self.drop_lost_shards();
-        let over = self.incarnations_over();
-        let plan = self.shards.borrow().plan(&self.identity(), &over);
+        let ended = self.incarnations_over();
+        let plan = self.shards.borrow().plan(&self.identity(), &ended);
         for shard in plan.hand_over {
             self.shards.borrow_mut().set_phase(shard, ShardPhase::Draining);
         }
@@ -173,12 +173,12 @@
     async fn claim_shards(
         self: &Rc<Self>,
         shards: &[ShardId],
-        former: Option<Incarnation>,
-        ended_at: u64,
+        previous_owner: Option<Incarnation>,
+        journal_end: u64,
     ) -> Result<(), StoreError> {
         for chunk in shards.chunks(MAX_CLAIM_SHARDS) {
             for _ in 0..MAX_CLAIM_ATTEMPTS {
-                let transaction = self.claim(chunk, former, ended_at);
+                let transaction = self.claim(chunk, previous_owner, journal_end);
                 // Whatever the reply says, or if it is lost: the rows tell who owns the shards.
                 let reply = self.commit_fenced(&transaction).await;
                 let account = account_key(self.incarnation());
@@ -203,8 +203,8 @@
     fn claim(
         &self,
         shards: &[ShardId],
-        former: Option<Incarnation>,
-        ended_at: u64,
+        previous_owner: Option<Incarnation>,
+        journal_end: u64,
     ) -> TableTransaction {
         let sequence = self.journal.next_sequence();
         let mut transaction = self.fenced(TableTransaction::default());
@@ -212,10 +212,10 @@
         for shard in shards {
             let view = self.shards.borrow().view(*shard).cloned().unwrap_or_default();
             // The row may have been seen to change since the claim was planned.
-            if view.row.owner.as_ref().map(|owner| owner.incarnation) != former {
+            if view.row.owner.as_ref().map(|owner| owner.incarnation) != previous_owner {
                 continue;
             }
-            let row = view.row.claimed(self.identity(), sequence, ended_at);
+            let row = view.row.claimed(self.identity(), sequence, journal_end);
             let key = shard_key(*shard);
             transaction = transaction.check(key.clone(), view.version).put(key, &row);
         }
@@ -294,12 +294,12 @@
         self.shards_changed.notify_waiters();
         self.event("shards_released").detail(format!("count={}", released.len())).log();
         // A task of its own: a member that hangs must not hold up claims and takeovers here.
-        actix_rt::spawn(self.clone().tell_released(released));
+        actix_rt::spawn(self.clone().notify_released(released));
         Ok(())
     }
 
     /// Tells the next owners, so that they need not wait for their scans.
-    async fn tell_released(self: Rc<Self>, shards: Vec<ShardId>) {
+    async fn notify_released(self: Rc<Self>, shards: Vec<ShardId>) {
         let me = &self.settings.instance;
         let others: Vec<_> = {
             let members = self.members.borrow();
--- a/src/node/ownership/takeover.rs
+++ b/src/node/ownership/takeover.rs
@@ -41,7 +41,7 @@
             return Ok(());
         }
         self.fence(incarnation).await?;
-        let ended_at = self.journal_end(incarnation, 0).await?;
+        let journal_end = self.journal_end(incarnation, 0).await?;
         self.close_account(incarnation).await?;
         self.reread_shards(shards).await?;
         let still = |shard: &&ShardId| {
@@ -49,7 +49,7 @@
             table.owner(**shard).is_some_and(|owner| owner.incarnation == incarnation)
         };
         let left: Vec<ShardId> = shards.iter().filter(still).copied().collect();
-        self.claim_shards(&left, Some(incarnation), ended_at).await?;
+        self.claim_shards(&left, Some(incarnation), journal_end).await?;
         self.suspects.borrow_mut().remove(&incarnation);
         Ok(())
     }
