--- a/src/node/batch.rs
+++ b/src/node/batch.rs
@@ -1,4 +1,5 @@
-//! Bodies of journal batches: in the row if they are small, else in an object that it names.
+//! Storage of journal batches: small ones in their table row, large ones in an object that the row
+//! refers to.
 
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
@@ -11,10 +12,9 @@
 use crate::core::ids::ObjectName;
 use crate::core::timeline::CausalStamp;
 
-/// Largest body that goes into the table; rows are small in most tables, and slow when large.
+/// Larger batches go to the object store, as most tables limit the size of a row.
 const MAX_INLINE_BYTES: usize = 32 * 1024;
 
-/// A batch as its row keeps it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(tag = "kept", rename_all = "snake_case")]
 pub(crate) enum BatchRow {
@@ -23,7 +23,6 @@
 }
 
 impl BatchRow {
-    /// The object with the records, if they are not in the row.
     pub(crate) fn object(&self) -> Option<&ObjectName> {
         match self {
             Self::Inline(_) => None,
@@ -33,8 +32,8 @@
 }
 
 impl Node {
-    /// Makes a batch's row. A large body is stored first, so that a row never names an object
-    /// that is not there; built again, the batch has the same records and so the same name.
+    /// Stores a large body before the row that refers to it is committed. A retry with the same
+    /// records writes the same object.
     pub(super) async fn batch_row(&self, records: &[JournalRecord]) -> BatchRow {
         let body = serde_json::to_vec(records).expect("records serialize");
         if body.len() <= MAX_INLINE_BYTES {
@@ -57,7 +56,6 @@
         }
     }
 
-    /// Reads a batch back.
     pub(super) async fn read_batch(&self, row: BatchRow) -> Result<JournalBatch, StoreError> {
         let (stamp, object) = match row {
             BatchRow::Inline(batch) => return Ok(batch),
--- a/src/node/journal.rs
+++ b/src/node/journal.rs
@@ -1,4 +1,5 @@
-//! Group commit: what has finished since the last write goes into the table in one transaction.
+//! Group commit of journal records: all records queued since the last commit are written to the
+//! table in one transaction.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,45 +18,41 @@
 use crate::core::ids::{Incarnation, ObjectName, ShardId, shard_of};
 use crate::core::limits::RatePacer;
 
-/// Why a record could not be made durable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum JournalError {
-    /// Another instance has fenced this incarnation; nothing of it is written any more.
+    /// Another instance has fenced this incarnation; the records were not written.
     #[display("this incarnation has been fenced")]
     Fenced,
-    /// As above, and an earlier attempt to write the records had lost its reply: they may have
-    /// been written, read by the next owner and deleted again since.
+    /// As `Fenced`, but the reply to an earlier attempt was lost: the records may have been
+    /// written, and even loaded and trimmed by the next owner since.
     #[display("this incarnation has been fenced while a write of it was open")]
     Indeterminate,
 }
 
 type Waiter = oneshot::Sender<Result<(), JournalError>>;
 
-/// The queue before the journal and what is known of its tail.
+/// Queue of records to commit, and the state of this incarnation's journal.
 #[derive(Debug, Default)]
 pub(crate) struct JournalWriter {
     queue: RefCell<Vec<JournalRecord>>,
     waiters: RefCell<Vec<Waiter>>,
     wake: Notify,
     committed: Notify,
-    /// The incarnation whose journal this is.
     epoch: Cell<Incarnation>,
     next_sequence: Cell<u64>,
-    /// Shards with records in the batch that is being written.
+    /// Shards with records in the batch in flight.
     writing: RefCell<BTreeSet<ShardId>>,
-    /// Objects with the records of large batches, by batch.
+    /// Objects that hold the records of large batches, by sequence number.
     objects: RefCell<BTreeMap<u64, ObjectName>>,
-    /// Set while the table has not answered the last attempt.
     failing_since: Cell<Option<Instant>>,
-    /// Set while the table has not answered the last regular read. An instance without calls
-    /// writes nothing that could fail.
+    /// Covers regular reads: an idle instance detects an outage by these alone.
     read_failing_since: Cell<Option<Instant>>,
-    /// This incarnation is known to be fenced, though no batch of it has met the fence yet.
+    /// Set when this incarnation is known to be fenced, even if no commit has failed on it yet.
     fenced: Cell<bool>,
     last_commit: Cell<Option<Instant>>,
 }
 
-/// Key of a journal batch. Zero-padded, so that key order is batch order.
+/// Zero-padded, so that key order is batch order.
 pub(crate) fn batch_key(incarnation: Incarnation, sequence: u64) -> RowKey {
     format!("journal/{incarnation:012}/{sequence:012}").into()
 }
@@ -73,7 +70,7 @@
 }
 
 pub(crate) const ACCOUNT_PREFIX: &str = "account/";
-/// Rows of what fenced incarnations may have spent, until the engines have been asked.
+/// Rows of spending by fenced incarnations that the engines have not confirmed yet.
 pub(crate) const UNRESOLVED_PREFIX: &str = "stranded/";
 
 pub(crate) fn unresolved_key(incarnation: Incarnation) -> RowKey {
@@ -84,23 +81,23 @@
     format!("budget/{workspace}").into()
 }
 
-/// Row that holds the number of the last configuration change.
+/// Row with the version of the last configuration change.
 pub(crate) const CONFIG_HEAD_KEY: &str = "config/head";
 
-/// Version an incarnation's row has until it is fenced.
+/// An incarnation's row is written once at its start; any later version means it is fenced.
 pub(crate) const UNFENCED_VERSION: u64 = 1;
 
-/// Commits that may follow at once before they are paced; under steady load they are.
+/// Commits that may run back to back before they are paced.
 const MAX_COMMIT_BURST: u32 = 8;
 pub(super) const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 pub(super) const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 impl JournalWriter {
-    /// Adds records and waits until they are durable.
+    /// Returns when the records are durable.
     ///
-    /// `epoch` is the incarnation that the caller's knowledge stems from. A call that began before
-    /// a fence must not write into the journal of the incarnation after it: its program may have
-    /// moved on at another owner, and its turn would stand twice in the history.
+    /// `epoch` is the incarnation under which the caller read its program. A call that began before
+    /// a fence must not write to the next incarnation's journal: another owner may have continued
+    /// the program, and the history would contain the turn twice.
     pub(crate) async fn append(
         &self,
         epoch: Incarnation,
@@ -116,40 +113,38 @@
         done.await.unwrap_or(Err(JournalError::Fenced))
     }
 
-    /// Asks for a commit although no record waits, for instance to draw budget.
+    /// Requests a commit although no record is queued, for instance to draw budget.
     pub(crate) fn wake(&self) {
         self.wake.notify_one();
     }
 
-    /// Completes after the next commit.
     pub(crate) fn committed(&self) -> Notified<'_> {
         self.committed.notified()
     }
 
-    /// Number of the first batch that the programs in memory do not show yet.
+    /// Number of the first batch that is not yet applied to the programs in memory.
     pub(crate) fn next_sequence(&self) -> u64 {
         self.next_sequence.get()
     }
 
-    /// Whether nothing of this shard waits or is being written.
+    /// True if no record of the shard is queued or in flight.
     pub(crate) fn is_idle(&self, shard: ShardId) -> bool {
         let waiting = |record: &JournalRecord| shard_of(record.program()) == shard;
         !self.queue.borrow().iter().any(waiting) && !self.writing.borrow().contains(&shard)
     }
 
-    /// How long the table has not answered.
+    /// Time since the table stopped answering; `None` while it answers.
     pub(crate) fn outage_duration(&self) -> Option<Duration> {
         let since = [self.failing_since.get(), self.read_failing_since.get()];
         since.into_iter().flatten().min().map(|since| since.elapsed())
     }
 
-    /// Notes whether a regular read went unanswered.
     pub(crate) fn set_read_failing(&self, failing: bool) {
         let since = self.read_failing_since.get().unwrap_or_else(Instant::now);
         self.read_failing_since.set(failing.then_some(since));
     }
 
-    /// When a batch was last written; this incarnation was not fenced then.
+    /// Time of the last committed batch; this incarnation was not fenced then.
     pub(crate) fn last_commit(&self) -> Option<Instant> {
         self.last_commit.get()
     }
@@ -177,7 +172,7 @@
         self.committed.notify_waiters();
     }
 
-    /// Takes the objects of the batches below `until`, whose rows are gone.
+    /// Removes and returns the objects of the batches below `until`.
     pub(super) fn take_objects(&self, until: u64) -> Vec<ObjectName> {
         let mut objects = self.objects.borrow_mut();
         let kept = objects.split_off(&until);
@@ -190,7 +185,7 @@
     }
 }
 
-/// One commit, built once and repeated to the letter until its fate is known.
+/// Retried unchanged until its result is known.
 struct JournalCommit {
     transaction: TableTransaction,
     grants: GrantPlan,
@@ -200,19 +195,18 @@
 enum CommitOutcome {
     Committed,
     Fenced(JournalError),
-    /// A row it draws on has changed: build it anew.
+    /// A row that the transaction checks has changed; it must be rebuilt.
     Outdated,
 }
 
-/// What became of a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum BatchOutcome {
     Written,
-    /// It held no record and could change no grant.
+    /// The batch held no records and changed no grants.
     Skipped,
 }
 
-/// Writes the journal until the process ends; a fenced incarnation is replaced by a new one.
+/// Commits batches until the process stops; a fenced incarnation is replaced by a new one.
 pub(crate) async fn run_journal(node: Rc<Node>) {
     let interval = node.settings.limits.commit_interval();
     let mut pacer = RatePacer::new(interval, MAX_COMMIT_BURST, Instant::now());
@@ -266,7 +260,7 @@
     loop {
         let commit = build_commit(node, records).await;
         if records.is_empty() && !commit.grants.needed {
-            // Calls of a spent workspace ask its row again and again; only reads pay for that.
+            // Calls of a workspace without budget retry often; they must not cause writes.
             node.grants_refused(&commit.grants);
             return Ok(BatchOutcome::Skipped);
         }
@@ -279,7 +273,7 @@
                 return Ok(BatchOutcome::Written);
             }
             CommitOutcome::Fenced(error) => return Err(error),
-            // Others draw on the same budget: writing again at once would only crowd the table.
+            // Another instance drew on the same budget; an immediate retry would add contention.
             CommitOutcome::Outdated => sleep(node.settings.limits.commit_interval()).await,
         }
     }
@@ -293,8 +287,8 @@
     let transaction = TableTransaction::default()
         .check(key.clone(), 0)
         .check(incarnation_key(incarnation), UNFENCED_VERSION)
-        // Every batch writes the account's row once. A duplicate of an old attempt that comes late,
-        // after its batch was trimmed, would else put back a lower ceiling than was spent.
+        // Each batch writes the account's row once, so its version is the sequence number. Without
+        // this check, a delayed duplicate of a trimmed batch could restore an outdated account.
         .check(account_key(incarnation), sequence);
     let (transaction, grants) = node.plan_grants(transaction).await;
     let batch = node.batch_row(records).await;
@@ -305,11 +299,11 @@
     JournalCommit { transaction, grants, built_at }
 }
 
-/// Repeats one transaction until it is known whether it took effect.
+/// Retries one transaction until it is known whether it took effect.
 ///
-/// A lost reply leaves open whether the write happened. Only this incarnation writes the batch's
-/// row, so a conflict on it means that an earlier attempt succeeded; a conflict on any other row
-/// dooms all attempts alike, a delayed one included, because versions only rise.
+/// Only this incarnation writes the batch's row, so a conflict on it means that an earlier attempt
+/// succeeded. A conflict on any other row means that no attempt can succeed, not even a delayed
+/// one, because versions only increase.
 async fn commit_with_retries(node: &Rc<Node>, commit: &JournalCommit) -> CommitOutcome {
     let incarnation = node.incarnation();
     let batch = batch_key(incarnation, node.journal.next_sequence());
@@ -318,8 +312,7 @@
     loop {
         node.metrics.store_write();
         let reply = node.table.commit(&commit.transaction).await;
-        // Any answer shows that the table works, a fence included: calls would be refused for
-        // good by an instance that has become another incarnation since.
+        // Any reply, a conflict included, shows that the table is reachable.
         node.journal.set_failing(reply.is_err());
         match reply {
             Ok(CommitReply::Committed) => break,
@@ -341,7 +334,7 @@
     CommitOutcome::Committed
 }
 
-/// Whether a write failed for a reason that leaves its effect open.
+/// True if the failed write may have taken effect.
 pub(crate) fn is_indeterminate(error: &StoreError) -> bool {
     matches!(error, StoreError::ReplyLost | StoreError::Malformed { .. })
 }
