--- a/src/node/journal.rs
+++ b/src/node/journal.rs
@@ -312,7 +312,8 @@
     loop {
         node.metrics.store_write();
         let reply = node.table.commit(&commit.transaction).await;
-        // Any reply, a conflict included, shows that the table is reachable.
+        // Any reply shows that the table is reachable, a conflict on the fence included: else the
+        // next incarnation would start in a failing state and refuse all calls.
         node.journal.set_failing(reply.is_err());
         match reply {
             Ok(CommitReply::Committed) => break,
--- a/src/node/ownership/checkpoint.rs
+++ b/src/node/ownership/checkpoint.rs
@@ -1,4 +1,5 @@
-//! Checkpoints: they bound what a takeover has to read, and let the journal be trimmed.
+//! Writes checkpoints of the served shards, which bound the journal that a takeover has to read, and
+//! trims the journal behind them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -15,7 +16,7 @@
 use crate::node::journal::batch_key;
 use crate::node::platform::{CommitReply, StoreError, TableTransaction};
 
-/// Batches deleted in one transaction.
+/// Bounds the size of one transaction.
 const MAX_TRIM_BATCHES: u64 = 256;
 
 impl Node {
@@ -57,10 +58,10 @@
         self.book.borrow_mut().remove_expired(before.as_millis() as u64);
     }
 
-    /// Writes all served shards as they are between two batches.
+    /// Writes a checkpoint of all served shards at a batch boundary.
     ///
-    /// The book shows exactly the batches below `next_sequence`: it takes records up when their
-    /// batch is durable and not before.
+    /// Records are applied to the book only once their batch is durable, so the book reflects
+    /// exactly the batches below `next_sequence`.
     pub(crate) async fn checkpoint(&self) -> Result<(), StoreError> {
         let epoch = self.incarnation();
         let sequence = self.journal.next_sequence();
@@ -82,8 +83,8 @@
             checkpoint.programs.extend(stored);
         }
         let body = serde_json::to_vec(&checkpoint).expect("programs serialize");
-        // Named by content: the same number may be tried again with fewer shards, and an object
-        // that rows refer to must not change.
+        // The name contains a hash of the content: a retry at the same sequence may cover fewer
+        // shards, and an object that rows refer to must not change.
         let object = object_name("checkpoint", epoch, &body);
         let bytes = body.len() + plan.bytes();
         let puts = plan.objects.len() + 1;
@@ -95,8 +96,8 @@
         let previous = self.checkpoint_objects(&shards);
         let mut transaction = self.fenced(TableTransaction::default());
         let unchanged = self.served_views();
-        // A shard may have been handed over while the object was stored. Its row then names
-        // batches that the object lacks; writing the checkpoint into it would lose them.
+        // A shard may have been handed over while the object was stored. Its row then refers to
+        // batches that the checkpoint lacks and that would be lost.
         let mut included = BTreeSet::new();
         for (shard, view) in views.iter().filter(|(shard, view)| unchanged.get(shard) == Some(view))
         {
@@ -108,7 +109,7 @@
         if epoch != self.incarnation() {
             return Ok(());
         }
-        // A conflict is no proof that nothing was written: a table's client may have tried twice.
+        // A conflict does not prove that nothing was written: the table's client may have retried.
         if self.commit_fenced(&transaction).await == Ok(CommitReply::Committed) {
             self.mark_plan_garbage(&plan, &object, &included);
         } else {
@@ -155,17 +156,15 @@
         self.objects.put(object, body).await
     }
 
-    /// Takes the objects of a plan back from what may be deleted.
-    ///
-    /// They are named by content. A checkpoint whose objects could not all be stored gave its names
-    /// up; the next one, with the same turns, uses them again. If its reply is lost and a shard moves
-    /// on with them, nobody here sees that they are in use: deleted, that history would be gone.
+    /// A failed checkpoint marks its objects as garbage, and a later one with the same turns has
+    /// the same object names. If the reply to its transaction is lost, rows may refer to objects
+    /// that are still marked, and deleting them would lose history.
     fn unmark_plan_garbage(&self, plan: &SegmentPlan, object: &ObjectName) {
         let mut index = self.segments.borrow_mut();
         index.unmark_garbage(plan.objects.iter().map(|part| &part.name).chain([object]));
     }
 
-    /// Gives up the objects of a plan, except for those of `included` shards.
+    /// Marks the plan's objects except for those of `included` shards.
     fn mark_plan_garbage(
         &self,
         plan: &SegmentPlan,
@@ -180,15 +179,15 @@
         }
     }
 
-    /// Whether a served shard still needs the journal of an earlier owner. Without a checkpoint
-    /// of its own, an instance that has no calls would keep the rows of the dead for ever.
+    /// If true, an instance without calls must write a checkpoint as well, or the journals of
+    /// previous owners are never collected.
     fn depends_on_other_journals(&self) -> bool {
         let me = self.incarnation();
         let views = self.served_views();
         views.values().flat_map(|view| &view.row.spans).any(|span| span.incarnation != me)
     }
 
-    /// The rows of the shards that are served here and that the table gives to this instance.
+    /// Excludes shards that are still served here but already belong to another owner.
     fn served_views(&self) -> BTreeMap<ShardId, ShardView> {
         let me = self.identity();
         let table = self.shards.borrow();
@@ -202,12 +201,11 @@
         rows.filter_map(|view| view.row.checkpoint.clone()).collect()
     }
 
-    /// Deletes objects that no shard's row names any more.
+    /// Deletes garbage objects that no shard's row refers to.
     ///
-    /// One object serves many shards, some of which may be elsewhere by now; a row that was read
-    /// before the object was made does not name it, and the object would be deleted while that
-    /// shard needs it. So all rows are read first. That is enough: the one transaction that put
-    /// the object into rows has happened, as one of its rows has come here.
+    /// Shards that share an object may have moved to other instances, so all rows are read first.
+    /// A single transaction puts an object into rows, and it has been committed by now, so no row
+    /// can refer to the object later.
     async fn delete_garbage(&self) -> Result<(), StoreError> {
         self.scan_shards().await?;
         let all: Vec<ShardId> = (0..self.settings.shards).collect();
@@ -227,8 +225,8 @@
 
     /// Deletes the batches of this incarnation that no shard needs; returns the first one kept.
     ///
-    /// The rows are read first: a claim whose reply was lost names batches that this instance
-    /// would else delete. A claim that comes after the scan names none before `written`.
+    /// Reads the rows first, because a claim whose reply was lost may refer to batches that would
+    /// be deleted. A claim after the scan refers to none before `written`.
     async fn trim_journal(&self, from: u64) -> Result<u64, StoreError> {
         let incarnation = self.incarnation();
         let written = self.journal.next_sequence();
@@ -251,8 +249,8 @@
         Ok(next)
     }
 
-    /// Deletes the objects of batches below `until` before their rows, so that a crash in between
-    /// leaves rows to find them by.
+    /// Runs before the rows are deleted: after a crash in between, the rows still refer to the
+    /// objects that are left.
     async fn delete_batch_objects(&self, until: u64) {
         for object in self.journal.take_objects(until) {
             self.metrics.store_write();
--- a/src/node/ownership/collect.rs
+++ b/src/node/ownership/collect.rs
@@ -1,4 +1,4 @@
-//! Deletes the rows of incarnations that are over and that no shard's history needs.
+//! Garbage collection of ended incarnations: deletes their rows and journals once no shard needs them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,10 +10,9 @@
 use crate::node::platform::{StoreError, TableTransaction, parse_row, scan_all};
 
 const INCARNATION_PREFIX: &str = "incarnation/";
-/// Batches deleted in one transaction.
+/// Batches read, and deleted in one transaction.
 const COLLECT_PAGE_SIZE: usize = 256;
 
-/// An incarnation's row as it was read.
 struct KnownIncarnation {
     incarnation: Incarnation,
     instance: InstanceId,
@@ -21,11 +20,11 @@
 }
 
 impl Node {
-    /// Collects what this instance is responsible for, once.
+    /// Collects the ended incarnations assigned to this instance.
     ///
-    /// The incarnations are read before the shards: one that was fenced then can claim nothing
-    /// more, so a shard that does not name it now never will. One that is not fenced yet but was
-    /// replaced by a newer run of its instance is fenced, and collected in a later round.
+    /// The incarnations are read before the shards: a fenced one can claim no shard, so a shard
+    /// that does not refer to it after that never will. An unfenced one with a newer incarnation
+    /// of the same instance is fenced now and collected in a later round.
     pub(super) async fn collect_incarnations(&self) -> Result<(), StoreError> {
         let known = self.known_incarnations().await?;
         self.scan_shards().await?;
@@ -60,7 +59,6 @@
         Ok(known)
     }
 
-    /// Incarnations that own a shard or whose journal some shard still needs, and this one.
     fn needed_incarnations(&self) -> BTreeSet<Incarnation> {
         let table = self.shards.borrow();
         let mut needed = BTreeSet::from([self.incarnation()]);
@@ -71,15 +69,14 @@
         needed
     }
 
-    /// Spreads the work; two instances that both think it is theirs do no harm.
+    /// Distributes the work over the instances; collecting an incarnation twice is harmless.
     fn collects(&self, incarnation: Incarnation) -> bool {
         let table = self.shards.borrow();
         let shard = (incarnation % u64::from(table.shards())) as ShardId;
         table.desired_owner(shard) == Some(&self.settings.instance)
     }
 
-    /// Closes the account first and deletes the incarnation's own row last, so that whoever
-    /// stops on the way leaves something to find the rest by.
+    /// Deletes the incarnation's own row last, so that an interrupted collection is resumed.
     async fn collect(&self, row: &KnownIncarnation) -> Result<(), StoreError> {
         self.close_account(row.incarnation).await?;
         loop {
--- a/src/node/ownership/load.rs
+++ b/src/node/ownership/load.rs
@@ -1,4 +1,4 @@
-//! Rebuilds the programs of shards from checkpoints and journals.
+//! Rebuilds a shard's programs from its checkpoint and journal for a new owner.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -15,13 +15,13 @@
 use crate::node::journal::{JournalError, batch_key, journal_prefix};
 use crate::node::platform::{StoreError, parse_row};
 
-/// Programs of some shards at one point of their owner's journal.
+/// Programs of one or more shards at a batch boundary of their owner's journal.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(super) struct ShardCheckpoint {
     pub(super) programs: Vec<ProgramRecord>,
 }
 
-/// Journal batches read so far, by incarnation and number.
+/// Batches and checkpoints that several shards share, so that each is read once.
 #[derive(Default)]
 struct BatchCache {
     batches: BTreeMap<(Incarnation, u64), JournalBatch>,
@@ -60,7 +60,7 @@
             }
         }
         for span in &row.spans {
-            // The open span is this incarnation's own; it holds nothing of the shard yet.
+            // The open span belongs to this incarnation and has no records of the shard yet.
             let Some(until) = span.until else { continue };
             self.load_span(span, until, cache).await?;
             for sequence in span.from..until {
@@ -90,8 +90,7 @@
         Ok(checkpoint)
     }
 
-    /// Reads a span's batches. One that is missing would be a hole in a history, so the shard is
-    /// rather not served at all.
+    /// Fails if a batch is missing: a shard is not served with a gap in its history.
     async fn load_span(
         &self,
         span: &JournalSpan,
@@ -120,10 +119,10 @@
         Ok(())
     }
 
-    /// Puts loaded programs into the book and opens their shards.
+    /// Inserts loaded programs into the book and starts to serve their shards.
     ///
-    /// An intent without a result was or may have been sent by a former owner; its outcome is
-    /// unknown for good, and it is not sent again. That is durable before the shard takes calls.
+    /// A previous owner may have sent an intent that has no result; its outcome stays unknown and
+    /// it is not sent again. This is durable before the shards accept calls.
     pub(super) async fn serve_shards(
         &self,
         shards: &[ShardId],
@@ -150,7 +149,6 @@
     }
 }
 
-/// The lasting result of a call whose owner was lost.
 fn resolve_intent(program: &ProgramRecord) -> Option<JournalRecord> {
     let intent = program.intent.as_ref()?;
     let message = "the program's owner was lost while the call was under way";
