--- a/src/node/ownership/checkpoint.rs
+++ b/src/node/ownership/checkpoint.rs
@@ -1,5 +1,5 @@
-//! Writes checkpoints of the served shards, which bound the journal that a takeover has to read, and
-//! trims the journal behind them.
+//! Writes checkpoints of the served shards, which bound the journal that a takeover has to read,
+//! and trims the journal behind them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
--- a/src/node/ownership/collect.rs
+++ b/src/node/ownership/collect.rs
@@ -1,4 +1,4 @@
-//! Garbage collection of ended incarnations: deletes their rows and journals once no shard needs them.
+//! Deletes the rows and journals of ended incarnations once no shard needs them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/node/ownership/mod.rs
+++ b/src/node/ownership/mod.rs
@@ -1,4 +1,4 @@
-//! Claims, takes over and hands over shards, and keeps their checkpoints.
+//! Shard ownership of an instance: claims, takeovers, handovers and checkpoints.
 
 mod checkpoint;
 mod collect;
@@ -21,15 +21,15 @@
 pub(crate) use takeover::JournalTail;
 
 const RECONCILE_INTERVAL: Duration = Duration::from_millis(250);
-/// How often all shard rows are read though nothing hints at a change.
+/// Interval of reading all shard rows without a hint.
 const SCAN_INTERVAL: Duration = Duration::from_secs(3);
-/// Time to hear of the other members before claiming anything.
+/// Lets membership converge before the first claim.
 const FIRST_CLAIM_DELAY: Duration = Duration::from_millis(800);
-/// Longest time to tell a member of shards that were let go; it would find them by itself.
+/// Bounds a release hint to one member, which finds the shards by its next scan if it fails.
 const HINT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Shards in one transaction.
+/// Bounds the size of one transaction.
 const MAX_CLAIM_SHARDS: usize = 128;
-/// Times a claim is made anew because a batch of the journal got in before it.
+/// Attempts of a claim that conflicts with concurrent commits of the own journal.
 const MAX_CLAIM_ATTEMPTS: usize = 4;
 
 pub(crate) const SHARD_PREFIX: &str = "shard/";
@@ -64,15 +64,15 @@
         });
     }
 
-    /// Another instance has let go of shards that should come here.
+    /// Called when another instance has released shards that this one should own.
     pub(crate) fn hint_shards(&self) {
         self.ownership_hint.notify_one();
     }
 
-    /// Whether this incarnation is not fenced, as the table says now.
+    /// Reads from the table whether this incarnation is unfenced.
     ///
-    /// What this instance knows of its programs was complete at that moment: another owner's
-    /// writes come after the fence.
+    /// If so, its view of its programs was complete at the time of the read, as another owner can
+    /// write only after the fence.
     pub(crate) async fn confirm_unfenced(&self) -> Result<bool, StoreError> {
         let epoch = self.incarnation();
         let found = self.table.read(&[incarnation_key(epoch)]).await?.pop().flatten();
@@ -83,7 +83,7 @@
         Ok(unfenced)
     }
 
-    /// Commits a transaction made by [`Node::fenced`], and notices if the fence stopped it.
+    /// Commits a transaction made by [`Node::fenced`]; a conflict on the fence is recorded.
     async fn commit_fenced(
         &self,
         transaction: &TableTransaction,
@@ -97,8 +97,8 @@
         Ok(reply)
     }
 
-    /// An instance without calls writes nothing, so no failed write tells it that it was fenced.
-    /// It would keep its shards unserved by anyone, as the others see it alive.
+    /// An idle instance has no failing commit from which to detect a fence. The other members see
+    /// it alive, so its shards would stay unserved.
     async fn check_fence_when_idle(&self) -> Result<(), StoreError> {
         let recent = self.journal.last_commit().is_some_and(|last| last.elapsed() < SCAN_INTERVAL);
         if !recent {
@@ -107,7 +107,6 @@
         Ok(())
     }
 
-    /// Reads all shard rows.
     pub(crate) async fn scan_shards(&self) -> Result<(), StoreError> {
         self.check_fence_when_idle().await?;
         for found in scan_all(&*self.table, SHARD_PREFIX).await? {
@@ -131,7 +130,6 @@
         Ok(())
     }
 
-    /// Does what the plan says, once.
     async fn reconcile_shards(self: &Rc<Self>) -> Result<(), StoreError> {
         if self.journal.is_fenced() {
             return Ok(());
@@ -151,11 +149,10 @@
         Ok(())
     }
 
-    /// Forgets shards that the table no longer gives to this instance.
+    /// Drops shards that no longer belong to this instance according to the table.
     ///
-    /// The reply to a handover may be lost, and so may the look at the rows after it. A handover
-    /// that is tried again over the next owner's claim would pass, as it is made of the newest
-    /// row; it would end that owner's journal while it goes on writing.
+    /// If the reply to a handover and the read after it fail, a retried handover would be built
+    /// from the next owner's row and succeed, ending that owner's span while it still writes.
     fn drop_lost_shards(&self) {
         let lost = self.shards.borrow().lost_shards(&self.identity());
         for shard in &lost {
@@ -168,8 +165,8 @@
         }
     }
 
-    /// Claims shards of a fenced incarnation whose journal ended before batch `ended_at`, or,
-    /// with `former` absent, shards that nobody owns.
+    /// Claims shards of the fenced `previous_owner`, whose journal ends before batch `journal_end`,
+    /// or unowned shards if `previous_owner` is `None`.
     async fn claim_shards(
         self: &Rc<Self>,
         shards: &[ShardId],
@@ -179,7 +176,7 @@
         for chunk in shards.chunks(MAX_CLAIM_SHARDS) {
             for _ in 0..MAX_CLAIM_ATTEMPTS {
                 let transaction = self.claim(chunk, previous_owner, journal_end);
-                // Whatever the reply says, or if it is lost: the rows tell who owns the shards.
+                // The reply may be lost; the rows read below decide who owns the shards.
                 let reply = self.commit_fenced(&transaction).await;
                 let account = account_key(self.incarnation());
                 if !reply.is_ok_and(|reply| reply.conflicts_on(&account)) {
@@ -195,11 +192,11 @@
         Ok(())
     }
 
-    /// The transaction of a claim.
+    /// Builds a claim whose spans start at the next batch of this journal.
     ///
-    /// It names the next batch of this journal as the first that may concern the shards, and
-    /// fails unless that is so: each batch writes the account's row once. A claim that arrives
-    /// late would else name batches that were trimmed, and nobody could load the shards again.
+    /// The check on the account's row, whose version is the number of the next batch, rejects a
+    /// delayed claim: its spans would start at batches that are trimmed, and the shards could not
+    /// be loaded any more.
     fn claim(
         &self,
         shards: &[ShardId],
@@ -211,7 +208,7 @@
         transaction = transaction.check(account_key(self.incarnation()), sequence);
         for shard in shards {
             let view = self.shards.borrow().view(*shard).cloned().unwrap_or_default();
-            // The row may have been seen to change since the claim was planned.
+            // The row may have changed since the claim was planned.
             if view.row.owner.as_ref().map(|owner| owner.incarnation) != previous_owner {
                 continue;
             }
@@ -222,7 +219,7 @@
         transaction
     }
 
-    /// Starts to serve shards whose rows name this incarnation.
+    /// Loads and serves shards whose rows name this incarnation as owner.
     async fn adopt_shards(self: &Rc<Self>, shards: Vec<ShardId>) -> Result<(), StoreError> {
         if shards.is_empty() {
             return Ok(());
@@ -252,7 +249,6 @@
         }
     }
 
-    /// Gives up the shards whose running calls are done.
     async fn release_drained(self: &Rc<Self>) -> Result<(), StoreError> {
         let draining: Vec<ShardId> = {
             let shards = self.shards.borrow();
@@ -293,12 +289,12 @@
         }
         self.shards_changed.notify_waiters();
         self.event("shards_released").detail(format!("count={}", released.len())).log();
-        // A task of its own: a member that hangs must not hold up claims and takeovers here.
+        // Spawned, so that an unresponsive member does not delay claims and takeovers.
         actix_rt::spawn(self.clone().notify_released(released));
         Ok(())
     }
 
-    /// Tells the next owners, so that they need not wait for their scans.
+    /// Notifies the next owners, so that they need not wait for their next scan.
     async fn notify_released(self: Rc<Self>, shards: Vec<ShardId>) {
         let me = &self.settings.instance;
         let others: Vec<_> = {
--- a/src/node/ownership/segments.rs
+++ b/src/node/ownership/segments.rs
@@ -1,5 +1,5 @@
-//! Writes new turns as segment objects, reads them back when a program is called again, and
-//! tells which objects nobody needs any more.
+//! Stores new turns of programs as segment objects for checkpoints, loads them when a program is
+//! called again, and tracks which objects can be deleted.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,20 +13,19 @@
 use crate::node::instance::Node;
 use crate::node::platform::StoreError;
 
-/// Text in one segment object, about. It bounds what reading one program's turns fetches.
+/// Approximate text per segment object; bounds the data read to load one program's turns.
 const TARGET_SEGMENT_BYTES: usize = 1024 * 1024;
-/// A program with more segments is written anew as one.
+/// Programs that reach it are compacted into one segment.
 const MAX_PROGRAM_SEGMENTS: usize = 16;
 const LOAD_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// An object to be put.
 pub(super) struct PlannedObject {
     pub(super) shard: ShardId,
     pub(super) name: ObjectName,
     pub(super) body: Bytes,
 }
 
-/// The objects of one checkpoint, and the segments that programs have after it.
+/// The segment objects of one checkpoint, and each program's segments after it.
 pub(super) struct SegmentPlan {
     epoch: Incarnation,
     pub(super) objects: Vec<PlannedObject>,
@@ -36,10 +35,10 @@
     shard_lists: Vec<SegmentList>,
 }
 
-/// A name that no other content and no other incarnation gives.
+/// Name that is unique to the content and the incarnation.
 ///
-/// An object that is deleted as unneeded is never put again by another owner, so a deposed owner
-/// that deletes late deletes nothing that is in use.
+/// No other owner stores an object under the same name, so a late deletion by a deposed owner
+/// never removes an object in use.
 pub(crate) fn object_name(kind: &str, epoch: Incarnation, body: &[u8]) -> ObjectName {
     format!("{kind}/{epoch:012}/{:032x}", xxh3_128(body)).into()
 }
@@ -60,7 +59,7 @@
         self.objects.iter().map(|object| object.body.len()).sum()
     }
 
-    /// Adds a program's new turns, or all of them if it has many segments.
+    /// Adds the program's unstored turns, or all turns if it is compacted.
     pub(super) fn add(&mut self, program: &ProgramRecord) {
         let compact = program.segments.len() >= MAX_PROGRAM_SEGMENTS && program.unloaded_turns == 0;
         let (kept, turns) = match compact {
@@ -77,7 +76,8 @@
         }
     }
 
-    /// Ends a shard: its objects hold no other shard's programs. Gives its programs' segments.
+    /// Finishes a shard, as an object never holds programs of two shards; returns the segments of
+    /// its programs.
     pub(super) fn close_shard(&mut self, shard: ShardId) -> Vec<SegmentList> {
         self.close_object(shard);
         let lists = std::mem::take(&mut self.shard_lists);
@@ -112,18 +112,17 @@
     turn.input.len() + answer
 }
 
-/// Segment objects in use by the last checkpoint of each served shard, and what can go.
+/// Segment objects used by the last checkpoint of each served shard, and those that are garbage.
 #[derive(Debug, Default)]
 pub(crate) struct SegmentIndex {
     shards: BTreeMap<ShardId, BTreeSet<ObjectName>>,
-    /// Objects that the next successful checkpoint may delete unless a row names them.
+    /// Deleted after the next successful checkpoint unless a row refers to them.
     garbage: BTreeSet<ObjectName>,
-    /// Objects of checkpoints whose transaction may have taken effect.
+    /// Objects of checkpoints whose transaction may or may not have taken effect.
     indeterminate: BTreeSet<ObjectName>,
 }
 
 impl SegmentIndex {
-    /// Shards were loaded with these programs.
     pub(super) fn record_loaded(&mut self, shards: &[ShardId], programs: &[ProgramRecord]) {
         for shard in shards {
             self.shards.insert(*shard, BTreeSet::new());
@@ -134,31 +133,27 @@
         }
     }
 
-    /// Objects that nothing refers to and nothing ever will.
+    /// Marks objects that nothing refers to now or later.
     ///
-    /// Those of a checkpoint whose transaction went unanswered are not among them: it may have
-    /// taken effect, and a shard may have moved on with references to them. They are left alone.
-    ///
-    /// A later checkpoint with the same turns has objects of the same names. If it fails before its
-    /// transaction, it would else give up what the earlier one may have put into rows.
+    /// Skips indeterminate objects, because rows may refer to them: a later checkpoint with the same
+    /// turns has the same object names and marks them if it fails before its transaction.
     pub(super) fn mark_garbage(&mut self, objects: impl IntoIterator<Item = ObjectName>) {
         let unused = objects.into_iter().filter(|object| !self.indeterminate.contains(object));
         self.garbage.extend(unused);
     }
 
-    /// Keeps objects that rows may name, though nobody here has seen it.
     pub(super) fn record_indeterminate(&mut self, objects: impl IntoIterator<Item = ObjectName>) {
         self.indeterminate.extend(objects);
     }
 
-    /// Objects that are about to be stored, again perhaps, and referred to.
+    /// Must be called before objects are stored, as they may be marked from an earlier attempt.
     pub(super) fn unmark_garbage<'a>(&mut self, objects: impl IntoIterator<Item = &'a ObjectName>) {
         for object in objects {
             self.garbage.remove(object);
         }
     }
 
-    /// A checkpoint stands in the rows of these shards. `former` are objects they named before.
+    /// `previous` are the checkpoint objects that the rows of these shards referred to before.
     pub(super) fn record_checkpoint(
         &mut self,
         shards: &[ShardId],
@@ -178,19 +173,18 @@
         }
     }
 
-    /// Takes what can be deleted if no row names it.
+    /// The caller must check that no row refers to the objects before it deletes them.
     pub(super) fn take_garbage(&mut self) -> BTreeSet<ObjectName> {
         std::mem::take(&mut self.garbage)
     }
 
-    /// Puts back what could not be deleted.
     pub(super) fn restore_garbage(&mut self, objects: BTreeSet<ObjectName>) {
         self.garbage.extend(objects);
     }
 }
 
 impl Node {
-    /// Reads the older turns of a program that was taken over, when it is first asked for.
+    /// Loads the older turns of a program that was taken over; does nothing if they are loaded.
     pub(crate) async fn load_program_turns(&self, program: ProgramId) -> Result<(), CallRefusal> {
         let segments = {
             let book = self.book.borrow();
--- a/src/node/ownership/takeover.rs
+++ b/src/node/ownership/takeover.rs
@@ -1,4 +1,4 @@
-//! Taking over from an incarnation that is believed dead: fence it first, then claim.
+//! Takes shards over from an incarnation that is considered dead: fences it, then claims them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,23 +15,21 @@
 };
 use crate::node::platform::{RowKey, StoreError, TableTransaction, parse_row};
 
-/// Where a suspect's journal ended when it was last looked at.
+/// End of a suspected incarnation's journal, and when it was first read.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct JournalTail {
     next: u64,
     seen_at: Instant,
 }
 
-/// A journal that has not grown for so long is taken as a sign of death.
+/// An incarnation whose journal has grown within this time is not fenced.
 const JOURNAL_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
 const TAIL_PAGE_SIZE: usize = 256;
 
 impl Node {
-    /// Takes shards over from an incarnation that the members call dead.
-    ///
-    /// A peer that only this instance cannot reach is not dead: if its journal still grows, it is
-    /// left alone. Being wrong costs the other its shards for a moment, never a history, because
-    /// every write of it fails once its row is fenced.
+    /// Does nothing while the incarnation's journal still grows: it may only be unreachable from
+    /// here. Fencing a live owner interrupts its shards but loses no history, as all its writes
+    /// fail from then on.
     pub(super) async fn take_over(
         self: &Rc<Self>,
         incarnation: Incarnation,
@@ -68,7 +66,7 @@
         Ok(tail.seen_at.elapsed() >= JOURNAL_IDLE_TIMEOUT)
     }
 
-    /// Ends an incarnation's right to write anything.
+    /// All later writes of the incarnation fail; does nothing if it is fenced already.
     pub(crate) async fn fence(&self, incarnation: Incarnation) -> Result<(), StoreError> {
         let key = incarnation_key(incarnation);
         let Some(found) = self.table.read(std::slice::from_ref(&key)).await?.pop().flatten() else {
@@ -89,7 +87,7 @@
         Ok(())
     }
 
-    /// The batch after an incarnation's last one, looking from batch `from` on.
+    /// Returns the number after the incarnation's last batch, scanning from batch `from`.
     async fn journal_end(&self, incarnation: Incarnation, from: u64) -> Result<u64, StoreError> {
         let prefix = journal_prefix(incarnation);
         let mut next = from;
@@ -105,11 +103,11 @@
         }
     }
 
-    /// Gives back what a fenced incarnation had drawn and certainly not spent.
+    /// Returns the budget that a fenced incarnation drew and certainly did not spend.
     ///
-    /// What lies between its ceiling and its known costs stays drawn in a row of its own until the
-    /// engines have told what its last attempts cost. The account's row goes in the same
-    /// transaction, so that it happens once, whoever tries.
+    /// The uncertain part stays drawn, in a row of unresolved spending, until the engines report
+    /// the cost of its last attempts. The same transaction deletes the account's row, so concurrent
+    /// callers return the budget only once.
     pub(crate) async fn close_account(&self, incarnation: Incarnation) -> Result<(), StoreError> {
         loop {
             let key = account_key(incarnation);
@@ -134,7 +132,7 @@
                 transaction = transaction.check(key.clone(), 0).put(key, &unresolved);
             }
             self.metrics.store_write();
-            // A conflict or a lost reply: look again whether the account is still there.
+            // After a conflict or a lost reply the account is read again.
             let _ = self.table.commit(&transaction).await;
         }
     }
@@ -149,7 +147,7 @@
         }
     }
 
-    /// Gives back all unspent grants of this incarnation, before it ends.
+    /// Fences this incarnation, so call it only at shutdown.
     pub(crate) async fn return_grants(&self) {
         if self.fence(self.incarnation()).await.is_ok() {
             let _ = self.close_account(self.incarnation()).await;
