--- a/src/node/journal.rs
+++ b/src/node/journal.rs
@@ -31,7 +31,6 @@
 
 type Waiter = oneshot::Sender<Result<(), JournalError>>;
 
-/// Queue of records to commit, and the state of this incarnation's journal.
 #[derive(Debug, Default)]
 pub(crate) struct JournalWriter {
     queue: RefCell<Vec<JournalRecord>>,
@@ -70,7 +69,6 @@
 }
 
 pub(crate) const ACCOUNT_PREFIX: &str = "account/";
-/// Rows of spending by fenced incarnations that the engines have not confirmed yet.
 pub(crate) const UNRESOLVED_PREFIX: &str = "stranded/";
 
 pub(crate) fn unresolved_key(incarnation: Incarnation) -> RowKey {
@@ -87,14 +85,12 @@
 /// An incarnation's row is written once at its start; any later version means it is fenced.
 pub(crate) const UNFENCED_VERSION: u64 = 1;
 
-/// Commits that may run back to back before they are paced.
 const MAX_COMMIT_BURST: u32 = 8;
 pub(super) const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 pub(super) const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 impl JournalWriter {
     /// Returns when the records are durable.
-    ///
     /// `epoch` is the incarnation under which the caller read its program. A call that began before
     /// a fence must not write to the next incarnation's journal: another owner may have continued
     /// the program, and the history would contain the turn twice.
@@ -172,7 +168,6 @@
         self.committed.notify_waiters();
     }
 
-    /// Removes and returns the objects of the batches below `until`.
     pub(super) fn take_objects(&self, until: u64) -> Vec<ObjectName> {
         let mut objects = self.objects.borrow_mut();
         let kept = objects.split_off(&until);
@@ -299,8 +294,6 @@
     JournalCommit { transaction, grants, built_at }
 }
 
-/// Retries one transaction until it is known whether it took effect.
-///
 /// Only this incarnation writes the batch's row, so a conflict on it means that an earlier attempt
 /// succeeded. A conflict on any other row means that no attempt can succeed, not even a delayed
 /// one, because versions only increase.
--- a/src/node/ownership/checkpoint.rs
+++ b/src/node/ownership/checkpoint.rs
@@ -16,7 +16,6 @@
 use crate::node::journal::batch_key;
 use crate::node::platform::{CommitReply, StoreError, TableTransaction};
 
-/// Bounds the size of one transaction.
 const MAX_TRIM_BATCHES: u64 = 256;
 
 impl Node {
@@ -58,8 +57,6 @@
         self.book.borrow_mut().remove_expired(before.as_millis() as u64);
     }
 
-    /// Writes a checkpoint of all served shards at a batch boundary.
-    ///
     /// Records are applied to the book only once their batch is durable, so the book reflects
     /// exactly the batches below `next_sequence`.
     pub(crate) async fn checkpoint(&self) -> Result<(), StoreError> {
@@ -201,8 +198,6 @@
         rows.filter_map(|view| view.row.checkpoint.clone()).collect()
     }
 
-    /// Deletes garbage objects that no shard's row refers to.
-    ///
     /// Shards that share an object may have moved to other instances, so all rows are read first.
     /// A single transaction puts an object into rows, and it has been committed by now, so no row
     /// can refer to the object later.
@@ -224,7 +219,6 @@
     }
 
     /// Deletes the batches of this incarnation that no shard needs; returns the first one kept.
-    ///
     /// Reads the rows first, because a claim whose reply was lost may refer to batches that would
     /// be deleted. A claim after the scan refers to none before `written`.
     async fn trim_journal(&self, from: u64) -> Result<u64, StoreError> {
--- a/src/node/ownership/collect.rs
+++ b/src/node/ownership/collect.rs
@@ -10,7 +10,6 @@
 use crate::node::platform::{StoreError, TableTransaction, parse_row, scan_all};
 
 const INCARNATION_PREFIX: &str = "incarnation/";
-/// Batches read, and deleted in one transaction.
 const COLLECT_PAGE_SIZE: usize = 256;
 
 struct KnownIncarnation {
@@ -20,8 +19,6 @@
 }
 
 impl Node {
-    /// Collects the ended incarnations assigned to this instance.
-    ///
     /// The incarnations are read before the shards: a fenced one can claim no shard, so a shard
     /// that does not refer to it after that never will. An unfenced one with a newer incarnation
     /// of the same instance is fenced now and collected in a later round.
--- a/src/node/ownership/load.rs
+++ b/src/node/ownership/load.rs
@@ -119,8 +119,6 @@
         Ok(())
     }
 
-    /// Inserts loaded programs into the book and starts to serve their shards.
-    ///
     /// A previous owner may have sent an intent that has no result; its outcome stays unknown and
     /// it is not sent again. This is durable before the shards accept calls.
     pub(super) async fn serve_shards(
--- a/src/node/ownership/mod.rs
+++ b/src/node/ownership/mod.rs
@@ -21,13 +21,11 @@
 pub(crate) use takeover::JournalTail;
 
 const RECONCILE_INTERVAL: Duration = Duration::from_millis(250);
-/// Interval of reading all shard rows without a hint.
 const SCAN_INTERVAL: Duration = Duration::from_secs(3);
 /// Lets membership converge before the first claim.
 const FIRST_CLAIM_DELAY: Duration = Duration::from_millis(800);
 /// Bounds a release hint to one member, which finds the shards by its next scan if it fails.
 const HINT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bounds the size of one transaction.
 const MAX_CLAIM_SHARDS: usize = 128;
 /// Attempts of a claim that conflicts with concurrent commits of the own journal.
 const MAX_CLAIM_ATTEMPTS: usize = 4;
@@ -69,10 +67,8 @@
         self.ownership_hint.notify_one();
     }
 
-    /// Reads from the table whether this incarnation is unfenced.
-    ///
-    /// If so, its view of its programs was complete at the time of the read, as another owner can
-    /// write only after the fence.
+    /// If true, this incarnation's view of its programs was complete at the time of the read, as
+    /// another owner can write only after the fence.
     pub(crate) async fn confirm_unfenced(&self) -> Result<bool, StoreError> {
         let epoch = self.incarnation();
         let found = self.table.read(&[incarnation_key(epoch)]).await?.pop().flatten();
@@ -149,8 +145,6 @@
         Ok(())
     }
 
-    /// Drops shards that no longer belong to this instance according to the table.
-    ///
     /// If the reply to a handover and the read after it fail, a retried handover would be built
     /// from the next owner's row and succeed, ending that owner's span while it still writes.
     fn drop_lost_shards(&self) {
@@ -192,11 +186,9 @@
         Ok(())
     }
 
-    /// Builds a claim whose spans start at the next batch of this journal.
-    ///
-    /// The check on the account's row, whose version is the number of the next batch, rejects a
-    /// delayed claim: its spans would start at batches that are trimmed, and the shards could not
-    /// be loaded any more.
+    /// The spans start at the next batch of this journal. The version of the account's row is that
+    /// batch's number, and the check on it rejects a delayed claim: its spans would start at
+    /// trimmed batches, and the shards could not be loaded any more.
     fn claim(
         &self,
         shards: &[ShardId],
@@ -219,7 +211,6 @@
         transaction
     }
 
-    /// Loads and serves shards whose rows name this incarnation as owner.
     async fn adopt_shards(self: &Rc<Self>, shards: Vec<ShardId>) -> Result<(), StoreError> {
         if shards.is_empty() {
             return Ok(());
--- a/src/node/ownership/segments.rs
+++ b/src/node/ownership/segments.rs
@@ -35,10 +35,8 @@
     shard_lists: Vec<SegmentList>,
 }
 
-/// Name that is unique to the content and the incarnation.
-///
-/// No other owner stores an object under the same name, so a late deletion by a deposed owner
-/// never removes an object in use.
+/// The name is unique to the content and the incarnation. No other owner stores an object under
+/// it, so a late deletion by a deposed owner never removes an object in use.
 pub(crate) fn object_name(kind: &str, epoch: Incarnation, body: &[u8]) -> ObjectName {
     format!("{kind}/{epoch:012}/{:032x}", xxh3_128(body)).into()
 }
@@ -112,9 +110,9 @@
     turn.input.len() + answer
 }
 
-/// Segment objects used by the last checkpoint of each served shard, and those that are garbage.
 #[derive(Debug, Default)]
 pub(crate) struct SegmentIndex {
+    /// Objects used by the last checkpoint of each served shard.
     shards: BTreeMap<ShardId, BTreeSet<ObjectName>>,
     /// Deleted after the next successful checkpoint unless a row refers to them.
     garbage: BTreeSet<ObjectName>,
@@ -133,10 +131,8 @@
         }
     }
 
-    /// Marks objects that nothing refers to now or later.
-    ///
-    /// Skips indeterminate objects, because rows may refer to them: a later checkpoint with the same
-    /// turns has the same object names and marks them if it fails before its transaction.
+    /// Skips indeterminate objects, because rows may refer to them: a later checkpoint with the
+    /// same turns has the same object names and marks them if it fails before its transaction.
     pub(super) fn mark_garbage(&mut self, objects: impl IntoIterator<Item = ObjectName>) {
         let unused = objects.into_iter().filter(|object| !self.indeterminate.contains(object));
         self.garbage.extend(unused);
