--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -1,4 +1,4 @@
-//! Instances that lost their right to write, and writes whose fate stays open for a while.
+//! Fenced instances, and writes whose result is unknown for some time.
 
 mod support;
 
@@ -15,7 +15,7 @@
 use support::{TestCluster, lose_replies, model_call, outage, run_paused, wait_until};
 use tokio::time::sleep;
 
-/// Fences an instance's running incarnation, as one does that believes it dead.
+/// Fences an instance's current incarnation, as another instance does on takeover.
 async fn fence(cluster: &Rc<TestCluster>, index: usize) -> u64 {
     let incarnation = cluster.node(index).member_list()[0].incarnation;
     let key = format!("incarnation/{incarnation:012}");
@@ -26,11 +26,10 @@
     incarnation
 }
 
-/// An instance was cut off, fenced, and is back before anyone has claimed its shards. It has no
-/// calls, so it writes nothing and no failed write tells it. The others see it alive and leave
-/// its shards alone: their programs would be refused for ever.
+/// Without a failing commit to detect the fence by, an idle instance would keep shards that it
+/// cannot serve and that no other instance claims.
 #[test]
-fn an_idle_instance_notices_that_it_was_fenced() {
+fn idle_fenced_instance_starts_a_new_incarnation() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         let fenced = fence(&cluster, 0).await;
@@ -39,12 +38,10 @@
     });
 }
 
-/// The owner is cut off, another instance takes over and the caller goes on there. The link comes
-/// back, and the old owner, which still believes it owns the program, is asked for the next call
-/// before anything told it of the fence. From its own view it would refuse the right number for
-/// good, and show a history without the last turn.
+/// After a partition, an owner that has not detected its fence must not permanently refuse a valid
+/// call number on the basis of its stale history.
 #[test]
-fn a_deposed_owner_refuses_nothing_from_its_old_view() {
+fn fenced_owner_does_not_refuse_calls_from_its_stale_view() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 1_000_000).await;
@@ -55,7 +52,10 @@
         cluster.set_cut(0, true);
         wait_until(|| cluster.owner_of(program) != Some(0)).await;
         recorder.attempt(&cluster, 1, &model_call(program, 2, "two")).await;
-        assert!(old.serving_shards().contains(&shard_of(program)), "it believes it owns it");
+        assert!(
+            old.serving_shards().contains(&shard_of(program)),
+            "the old owner still serves the shard"
+        );
         cluster.set_cut(0, false);
         let third = recorder.attempt(&cluster, 0, &model_call(program, 3, "three")).await;
         assert!(
@@ -68,27 +68,25 @@
     });
 }
 
-/// Gives instance 2 a program, lets another instance take it over, and starts 2 again, so that
-/// the program's shard is about to be handed back. Returns the program's recorder and its owner.
-async fn before_a_handover(cluster: &Rc<TestCluster>) -> (Rc<ProgramRecorder>, usize) {
+/// Lets another instance take over a program of instance 2, whose restart then triggers a handover.
+/// Returns the program's recorder and its owner.
+async fn take_over_from_instance_2(cluster: &Rc<TestCluster>) -> (Rc<ProgramRecorder>, usize) {
     cluster.workspace("w", ServiceClass::Paying, 1_000_000).await;
     let recorder = ProgramRecorder::new(cluster.start_program(2, "w").await);
     recorder.insist(cluster, model_call(recorder.program, 1, "one")).await;
     cluster.kill(2);
     cluster.settled().await;
-    let owner = cluster.owner_of(recorder.program).expect("it was taken over");
+    let owner = cluster.owner_of(recorder.program).expect("the program was taken over");
     (recorder, owner)
 }
 
-/// A checkpoint is being written, slowly, while its owner hands a shard over; the next owner has
-/// not claimed it yet. When the object is stored at last, the checkpoint must not be put into the
-/// row of the shard that was let go: the row would no longer name the batches since the
-/// checkpoint began, and the program's last turn would be gone.
+/// If a shard is handed over while a checkpoint is being stored, writing the checkpoint to its row
+/// would lose the batches committed since the checkpoint began.
 #[test]
-fn a_slow_checkpoint_leaves_shards_alone_that_moved_meanwhile() {
+fn slow_checkpoint_skips_shards_handed_over_meanwhile() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
-        let (recorder, owner) = before_a_handover(&cluster).await;
+        let (recorder, owner) = take_over_from_instance_2(&cluster).await;
         let objects = cluster.gates(owner).objects.clone();
         objects.set(FaultSettings { delay_ms: 1_900, ..FaultSettings::default() });
         let before = objects.operations();
@@ -106,21 +104,20 @@
     });
 }
 
-/// The owner hands a shard over; the write takes effect, but its reply and all that follow are
-/// lost for a while. The next owner has claimed the shard when the old one hears the table again,
-/// reads the rows and tries once more. It must not end the new owner's claim.
+/// An owner whose handover took effect but lost its reply must not repeat it after the next owner
+/// has claimed the shard.
 #[test]
-fn a_handover_with_lost_replies_is_not_repeated_over_the_next_owner() {
+fn handover_with_lost_replies_does_not_end_the_next_owners_claim() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
-        let (recorder, owner) = before_a_handover(&cluster).await;
+        let (recorder, owner) = take_over_from_instance_2(&cluster).await;
         cluster.gates(owner).platform.set(lose_replies(10_000));
         cluster.start_node(2).await;
         wait_until(|| cluster.owner_of(recorder.program) == Some(2)).await;
         cluster.gates(owner).platform.set(FaultSettings::default());
         let old = cluster.node(owner).member_list().swap_remove(0);
         let peers = LocalPeers { hub: cluster.hub.clone(), from: "i2".into() };
-        peers.shards_released(&old, Vec::new()).await.expect("it is reachable");
+        peers.shards_released(&old, Vec::new()).await.expect("the old owner is reachable");
         for _ in 0..100 {
             sleep(Duration::from_millis(100)).await;
             assert_eq!(cluster.owner_of(recorder.program), Some(2));
