--- a/tests/checkpoints.rs
+++ b/tests/checkpoints.rs
@@ -1,5 +1,5 @@
-//! Checkpoints write what is new, programs that were taken over read their turns when called,
-//! and what nobody needs any more is deleted.
+//! Incremental checkpoints, loading of histories after a takeover, and deletion of unneeded objects
+//! and rows.
 
 mod support;
 
@@ -10,15 +10,14 @@
 use support::{TestCluster, model_call, run_paused};
 use tokio::time::sleep;
 
-const CHECKPOINT: Duration = Duration::from_secs(5);
-/// Bytes of a program's history before it goes on.
+const CHECKPOINT_INTERVAL: Duration = Duration::from_secs(5);
+/// Size of each program's history.
 const HISTORY_BYTES: usize = 5_000;
 
-/// A long program is checkpointed many times, its owners are killed right after a turn that is
-/// only in the journal, and the next call comes after each kill. Every answer must belong to the whole history: a segment
-/// that is lost, taken twice or out of order would change the prompt.
+/// A segment that is lost, duplicated or out of order after an owner crash would change the prompt
+/// of later calls.
 #[test]
-fn a_history_of_many_segments_survives_its_owners() {
+fn history_in_many_segments_survives_owner_crashes() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 10_000_000).await;
@@ -27,10 +26,10 @@
             let request = model_call(recorder.program, number, &format!("input {number}"));
             recorder.insist(&cluster, request).await;
             if number % 13 != 0 {
-                sleep(CHECKPOINT).await;
+                sleep(CHECKPOINT_INTERVAL).await;
                 continue;
             }
-            let owner = cluster.owner_of(recorder.program).expect("somebody owns it");
+            let owner = cluster.owner_of(recorder.program).expect("the program has an owner");
             cluster.kill(owner);
             cluster.settled().await;
             cluster.start_node(owner).await;
@@ -39,10 +38,10 @@
     });
 }
 
-/// A call's input is far larger than a row should be. The batch goes to the object store and its
-/// row names it; the next owner reads it from there.
+/// A batch with a large input must not be written to a table row, and the next owner must be able
+/// to read it.
 #[test]
-fn large_batches_go_to_the_object_store() {
+fn large_batches_are_stored_as_objects() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 10_000_000).await;
@@ -59,10 +58,10 @@
     });
 }
 
-/// Programs run, end and are forgotten, owners die. Neither objects nor rows of dead incarnations
-/// may pile up: only the newest checkpoints and the journals of who runs now are left.
+/// Objects of expired programs and rows of dead incarnations must not accumulate: only the latest
+/// checkpoints and the journals of live incarnations remain.
 #[test]
-fn nothing_piles_up() {
+fn unneeded_objects_and_rows_are_deleted() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 10_000_000).await;
@@ -72,7 +71,7 @@
                 let input = "x".repeat(if number % 5 == 0 { 40_000 } else { 10 });
                 let request = model_call(recorder.program, number, &input);
                 recorder.insist(&cluster, request).await;
-                sleep(CHECKPOINT / 2).await;
+                sleep(CHECKPOINT_INTERVAL / 2).await;
             }
             cluster.kill(round);
             cluster.settled().await;
@@ -86,7 +85,7 @@
         for index in 0..3 {
             cluster.start_program(index, "w").await;
         }
-        sleep(CHECKPOINT * 6).await;
+        sleep(CHECKPOINT_INTERVAL * 6).await;
         let objects = cluster.platform.peek_objects();
         assert!(objects.iter().all(|name| name.starts_with("checkpoint/")), "{objects:?}");
         assert!(objects.len() <= 3, "{objects:?}");
@@ -98,17 +97,16 @@
     });
 }
 
-/// A thousand programs have histories and ten of them go on. What the next checkpoint writes
-/// follows the new turns, not the histories.
+/// The size of a checkpoint must depend on the new turns, not on the stored histories.
 #[test]
-fn a_checkpoint_writes_what_is_new() {
+fn checkpoint_writes_only_new_turns() {
     run_paused(async {
         let cluster = TestCluster::start(2).await;
         cluster.workspace("w", ServiceClass::Paying, 100_000_000).await;
         let input = "x".repeat(HISTORY_BYTES);
         let call = async |program, number| {
             let call = cluster.node(0).submit(model_call(program, number, &input)).await;
-            call.expect("it is taken").wait().await;
+            call.expect("the call is accepted").wait().await;
         };
         let mut programs = Vec::new();
         for _ in 0..1_000 {
@@ -116,12 +114,12 @@
             call(program, 1).await;
             programs.push(program);
         }
-        sleep(CHECKPOINT * 2).await;
+        sleep(CHECKPOINT_INTERVAL * 2).await;
         for program in programs.iter().take(10) {
             call(*program, 2).await;
         }
-        sleep(CHECKPOINT * 2).await;
-        let last = cluster.last_event(0, "checkpoint_written").expect("one was written");
+        sleep(CHECKPOINT_INTERVAL * 2).await;
+        let last = cluster.last_event(0, "checkpoint_written").expect("a checkpoint was written");
         println!("{last}");
         let bytes = last.split("bytes=").nth(1).and_then(|text| text.split(' ').next());
         let bytes: usize = bytes.and_then(|text| text.parse().ok()).expect("a number");
