--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! What the takeover of a dead owner's programs costs; docs/CAPACITY.md uses the figures:
+//! Cost of taking over the programs of a dead owner, for docs/CAPACITY.md:
 //! `cargo test --release --test recovery -- --nocapture`.
 
 mod support;
@@ -11,19 +11,18 @@
 use tokio::time::Instant;
 
 const TURNS: u32 = 2;
-/// Programs whose calls the stand-in engines can serve within a call's deadline.
-const AT_A_TIME: usize = 300;
-/// From the kill to the last shard served by a survivor, on the paused clock.
-const TAKEOVER_LIMIT: Duration = Duration::from_secs(12);
+/// Bounded so that the stand-in engines serve all calls within their deadline.
+const MAX_CONCURRENT_PROGRAMS: usize = 300;
+/// From the kill until the survivors serve all shards, on the paused clock.
+const MAX_TAKEOVER_TIME: Duration = Duration::from_secs(12);
 
-/// An owner dies with its programs between turns. The others notice, fence it, claim its shards
-/// and read its checkpoint and journal; then every program goes on where it was. The time does
-/// not depend on how many programs there were, only the bytes do.
+/// The takeover of a dead owner must complete in time for any number of programs, and a program
+/// must then accept its next call.
 #[rstest]
 #[case(30)]
 #[case(300)]
 #[case(3_000)]
-fn programs_of_a_dead_owner_go_on(#[case] count: usize) {
+fn programs_continue_after_their_owner_dies(#[case] count: usize) {
     run_paused(async move {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, u64::MAX / 4).await;
@@ -31,7 +30,7 @@
         for _ in 0..count {
             programs.push(cluster.start_program(0, "w").await);
         }
-        for group in programs.chunks(AT_A_TIME) {
+        for group in programs.chunks(MAX_CONCURRENT_PROGRAMS) {
             let running = group.iter().map(|program| async {
                 for number in 1..=TURNS {
                     let call = model_call(*program, number, "salt?");
@@ -56,7 +55,7 @@
             cluster.platform.reads() - reads,
             cluster.platform.writes() - writes,
         );
-        assert!(took < TAKEOVER_LIMIT, "{took:?}");
+        assert!(took < MAX_TAKEOVER_TIME, "{took:?}");
         let next = model_call(programs[count - 1], TURNS + 1, "pepper?");
         answer_text(&outcome(cluster.node(1).submit(next).await).await);
     });
