--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Owners that die or freeze at a chosen moment of a model call: no turn is lost or doubled.
+//! Owners that crash or freeze during a model call: no turn is lost or duplicated.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use support::{TestCluster, lose_replies, model_call, outage, run_paused, wait_until};
 use tokio::time::sleep;
 
-async fn start() -> (Rc<TestCluster>, Rc<ProgramRecorder>) {
+async fn start_cluster() -> (Rc<TestCluster>, Rc<ProgramRecorder>) {
     let cluster = TestCluster::start(4).await;
     cluster.workspace("w", ServiceClass::Paying, 1_000_000).await;
     let recorder = ProgramRecorder::new(cluster.start_program(0, "w").await);
@@ -19,7 +19,7 @@
     (cluster, recorder)
 }
 
-/// Submits call 2 at instance 0 and lets it go on by itself.
+/// Submits call 2 at instance 0 in the background.
 fn submit_second(cluster: &Rc<TestCluster>, recorder: &Rc<ProgramRecorder>) {
     let (cluster, recorder) = (cluster.clone(), recorder.clone());
     actix_rt::spawn(async move {
@@ -32,51 +32,51 @@
     cluster.engines.iter().map(|engine| engine.calls()).sum()
 }
 
-async fn finish(cluster: &Rc<TestCluster>, recorder: &Rc<ProgramRecorder>) {
+async fn submit_remaining(cluster: &Rc<TestCluster>, recorder: &Rc<ProgramRecorder>) {
     for (number, input) in [(2, "two"), (3, "three")] {
         recorder.insist(cluster, model_call(recorder.program, number, input)).await;
     }
     recorder.check(cluster).await;
 }
 
-/// The owner dies between two turns, the next owner right after it has taken over, and the third
-/// while it does so. Whoever is left replays what all of them wrote.
+/// The last owner must replay the turns of all previous owners, one of which dies during its own
+/// takeover.
 #[test]
-fn owners_die_one_after_the_other() {
+fn program_survives_consecutive_owner_crashes() {
     run_paused(async {
-        let (cluster, recorder) = start().await;
+        let (cluster, recorder) = start_cluster().await;
         cluster.kill(0);
         wait_until(|| cluster.owner_of(recorder.program).is_some()).await;
-        let second = cluster.owner_of(recorder.program).expect("somebody owns it");
+        let second = cluster.owner_of(recorder.program).expect("the program has an owner");
         recorder.insist(&cluster, model_call(recorder.program, 2, "two")).await;
         cluster.kill(second);
         wait_until(|| cluster.owner_of(recorder.program).is_some()).await;
-        cluster.kill(cluster.owner_of(recorder.program).expect("somebody owns it"));
-        finish(&cluster, &recorder).await;
+        cluster.kill(cluster.owner_of(recorder.program).expect("the program has an owner"));
+        submit_remaining(&cluster, &recorder).await;
     });
 }
 
-/// The owner dies while an answer streams. The caller has part of it and submits the same request
-/// elsewhere: it gets one whole answer, not the rest of another one.
+/// A caller that resubmits after a partial stream must get one complete answer, not the rest of
+/// another one.
 #[test]
-fn the_owner_dies_during_a_stream() {
+fn owner_crash_during_a_stream_yields_one_complete_answer() {
     run_paused(async {
-        let (cluster, recorder) = start().await;
+        let (cluster, recorder) = start_cluster().await;
         let before = engine_calls(&cluster);
         submit_second(&cluster, &recorder);
         wait_until(|| engine_calls(&cluster) > before).await;
         sleep(Duration::from_millis(30)).await;
         cluster.kill(0);
-        finish(&cluster, &recorder).await;
+        submit_remaining(&cluster, &recorder).await;
     });
 }
 
-/// The turn is written, and the owner dies before it hears so; the caller got nothing. The same
-/// request gives the written turn, without another engine call.
+/// If the owner dies after the commit but before the answer, the same request must return the
+/// committed turn without a second engine call.
 #[test]
-fn the_owner_dies_between_commit_and_answer() {
+fn owner_crash_after_commit_returns_the_committed_turn() {
     run_paused(async {
-        let (cluster, recorder) = start().await;
+        let (cluster, recorder) = start_cluster().await;
         cluster.gates(0).platform.set(lose_replies(u32::MAX));
         submit_second(&cluster, &recorder);
         wait_until(|| cluster.journal_has_turn("two")).await;
@@ -84,17 +84,16 @@
         cluster.kill(0);
         recorder.insist(&cluster, model_call(recorder.program, 2, "two")).await;
         assert_eq!(engine_calls(&cluster), ran, "the recorded turn was not used");
-        finish(&cluster, &recorder).await;
+        submit_remaining(&cluster, &recorder).await;
     });
 }
 
-/// The reply to a batch is lost after it took effect, several times in a row. The writer finds
-/// its own batch and goes on; written again under the next number, the turn would stand twice,
-/// which shows when the next owner replays the journal.
+/// A batch that took effect although its reply was lost must not be committed again under the next
+/// number, as the next owner would replay the turn twice.
 #[test]
-fn lost_replies_double_no_turn() {
+fn lost_commit_replies_do_not_duplicate_turns() {
     run_paused(async {
-        let (cluster, recorder) = start().await;
+        let (cluster, recorder) = start_cluster().await;
         for number in 2..=8 {
             let input = format!("input {number}");
             cluster.gates(0).platform.set(lose_replies(u32::MAX));
@@ -111,18 +110,17 @@
     });
 }
 
-/// The owner freezes in the middle of a stream, another instance takes over, and the caller goes
-/// on there. The old owner wakes, still believing it owns the program, finishes the stream and
-/// wants to write its turn; the fence stops it. Then the new owner freezes likewise.
+/// An owner that resumes after a takeover and completes its stream must be stopped by the fence
+/// before it commits the turn.
 #[test]
-fn frozen_owners_wake_and_write_nothing() {
+fn resumed_owners_cannot_commit_after_a_takeover() {
     run_paused(async {
-        let (cluster, recorder) = start().await;
+        let (cluster, recorder) = start_cluster().await;
         submit_second(&cluster, &recorder);
         sleep(Duration::from_millis(50)).await;
         cluster.freeze(0);
         wait_until(|| cluster.owner_of(recorder.program) != Some(0)).await;
-        let second = cluster.owner_of(recorder.program).expect("somebody owns it");
+        let second = cluster.owner_of(recorder.program).expect("the program has an owner");
         wait_until(|| cluster.serves(second, recorder.program)).await;
         let request = model_call(recorder.program, 2, "two");
         recorder.attempt(&cluster, second, &request).await;
@@ -131,16 +129,16 @@
         cluster.freeze(second);
         wait_until(|| cluster.owner_of(recorder.program) != Some(second)).await;
         cluster.thaw(second);
-        finish(&cluster, &recorder).await;
+        submit_remaining(&cluster, &recorder).await;
     });
 }
 
-/// An answer is complete while the table is down; its owner is cut off from the others as well,
-/// is deposed, and the table comes back to it first. Its caller has heard nothing final.
+/// An answer that completes during a table outage must not be lost or duplicated when its owner is
+/// also partitioned from the other members and replaced.
 #[test]
-fn an_outage_and_a_takeover_together() {
+fn outage_combined_with_a_takeover_keeps_turns_consistent() {
     run_paused(async {
-        let (cluster, recorder) = start().await;
+        let (cluster, recorder) = start_cluster().await;
         cluster.platform.faults.set(outage());
         submit_second(&cluster, &recorder);
         sleep(Duration::from_secs(1)).await;
@@ -149,6 +147,6 @@
         cluster.platform.faults.set(FaultSettings::default());
         wait_until(|| cluster.owner_of(recorder.program) != Some(0)).await;
         cluster.set_cut(0, false);
-        finish(&cluster, &recorder).await;
+        submit_remaining(&cluster, &recorder).await;
     });
 }
