--- a/src/node/calls/model.rs
+++ b/src/node/calls/model.rs
@@ -220,7 +220,7 @@
                     return Err(CallRefusal::retry(RefusalReason::BudgetExhausted, wait));
                 }
                 ReserveOutcome::Draw => {
-                    self.node.journal.wake();
+                    self.node.journal.request_commit();
                     if timeout_at(self.deadline, committed).await.is_err() {
                         let reason = RefusalReason::StoreUnavailable;
                         return Err(CallRefusal::retry(reason, ENGINE_RETRY));
--- a/src/node/grants.rs
+++ b/src/node/grants.rs
@@ -41,7 +41,7 @@
                 sleep(self.settings.limits.budget_idle()).await;
                 self.ledger.borrow_mut().schedule_returns();
                 if self.ledger.borrow().needs_commit() {
-                    self.journal.wake();
+                    self.journal.request_commit();
                 }
             }
         });
--- a/src/node/journal.rs
+++ b/src/node/journal.rs
@@ -39,8 +39,7 @@
     committed: Notify,
     epoch: Cell<Incarnation>,
     next_sequence: Cell<u64>,
-    /// Shards with records in the batch in flight.
-    writing: RefCell<BTreeSet<ShardId>>,
+    in_flight_shards: RefCell<BTreeSet<ShardId>>,
     /// Objects that hold the records of large batches, by sequence number.
     objects: RefCell<BTreeMap<u64, ObjectName>>,
     failing_since: Cell<Option<Instant>>,
@@ -110,7 +109,7 @@
     }
 
     /// Requests a commit although no record is queued, for instance to draw budget.
-    pub(crate) fn wake(&self) {
+    pub(crate) fn request_commit(&self) {
         self.wake.notify_one();
     }
 
@@ -126,7 +125,7 @@
     /// True if no record of the shard is queued or in flight.
     pub(crate) fn is_idle(&self, shard: ShardId) -> bool {
         let waiting = |record: &JournalRecord| shard_of(record.program()) == shard;
-        !self.queue.borrow().iter().any(waiting) && !self.writing.borrow().contains(&shard)
+        !self.queue.borrow().iter().any(waiting) && !self.in_flight_shards.borrow().contains(&shard)
     }
 
     /// Time since the table stopped answering; `None` while it answers.
@@ -163,7 +162,7 @@
             let _ = waiter.send(Err(JournalError::Fenced));
         }
         self.next_sequence.set(0);
-        self.writing.borrow_mut().clear();
+        self.in_flight_shards.borrow_mut().clear();
         self.objects.borrow_mut().clear();
         self.committed.notify_waiters();
     }
@@ -228,7 +227,7 @@
 async fn commit_batch(node: &Rc<Node>) -> Result<(), JournalError> {
     let journal = &node.journal;
     let records = std::mem::take(&mut *journal.queue.borrow_mut());
-    *journal.writing.borrow_mut() =
+    *journal.in_flight_shards.borrow_mut() =
         records.iter().map(|record| shard_of(record.program())).collect();
     let waiters = std::mem::take(&mut *journal.waiters.borrow_mut());
     let result = commit_records(node, &records).await;
@@ -240,7 +239,7 @@
         journal.next_sequence.set(journal.next_sequence.get() + 1);
         journal.last_commit.set(Some(Instant::now()));
     }
-    journal.writing.borrow_mut().clear();
+    journal.in_flight_shards.borrow_mut().clear();
     for waiter in waiters {
         let _ = waiter.send(result.map(|_| ()));
     }
