--- a/src/node/ownership/checkpoint.rs
+++ b/src/node/ownership/checkpoint.rs
@@ -24,22 +24,22 @@
         actix_rt::spawn(async move {
             let mut trimmed = 0;
             let mut epoch = self.incarnation();
-            let mut last = 0;
+            let mut last_sequence = 0;
             while !self.is_stopped() {
                 sleep(interval).await;
                 self.remove_expired_programs();
                 if epoch != self.incarnation() {
-                    (epoch, trimmed, last) = (self.incarnation(), 0, 0);
+                    (epoch, trimmed, last_sequence) = (self.incarnation(), 0, 0);
                 }
                 if let Err(error) = self.collect_incarnations().await {
                     self.event("collection_failed").detail(error.to_string()).log();
                 }
                 let sequence = self.journal.next_sequence();
-                if sequence == last && !self.depends_on_other_journals() {
+                if sequence == last_sequence && !self.depends_on_other_journals() {
                     continue;
                 }
                 match self.checkpoint().await {
-                    Ok(()) => last = sequence,
+                    Ok(()) => last_sequence = sequence,
                     Err(error) => {
                         self.event("checkpoint_failed").detail(error.to_string()).log();
                         continue;
@@ -116,11 +116,11 @@
         self.reread_shards(&shards).await?;
         let written: Vec<ShardId> = {
             let table = self.shards.borrow();
-            let names = |shard: &ShardId| {
+            let is_written = |shard: &ShardId| {
                 table.view(*shard).and_then(|view| view.row.checkpoint.clone())
                     == Some(object.clone())
             };
-            shards.into_iter().filter(names).collect()
+            shards.into_iter().filter(is_written).collect()
         };
         if written.is_empty() {
             return Ok(());
--- a/src/node/ownership/collect.rs
+++ b/src/node/ownership/collect.rs
@@ -32,7 +32,7 @@
             *last = row.incarnation.max(*last);
         }
         for row in &known {
-            if needed.contains(&row.incarnation) || !self.collects(row.incarnation) {
+            if needed.contains(&row.incarnation) || !self.is_collector_of(row.incarnation) {
                 continue;
             }
             if row.version != UNFENCED_VERSION {
@@ -67,7 +67,7 @@
     }
 
     /// Distributes the work over the instances; collecting an incarnation twice is harmless.
-    fn collects(&self, incarnation: Incarnation) -> bool {
+    fn is_collector_of(&self, incarnation: Incarnation) -> bool {
         let table = self.shards.borrow();
         let shard = (incarnation % u64::from(table.shards())) as ShardId;
         table.desired_owner(shard) == Some(&self.settings.instance)
