--- a/src/node/journal.rs
+++ b/src/node/journal.rs
@@ -25,7 +25,7 @@
     Fenced,
     /// As `Fenced`, but the reply to an earlier attempt was lost: the records may have been
     /// written, and even loaded and trimmed by the next owner since.
-    #[display("this incarnation has been fenced while a write of it was open")]
+    #[display("this incarnation has been fenced before the result of a write was known")]
     Indeterminate,
 }
 
