--- a/src/node/ownership/segments.rs
+++ b/src/node/ownership/segments.rs
@@ -131,8 +131,9 @@
         }
     }
 
-    /// Skips indeterminate objects, because rows may refer to them: a later checkpoint with the
-    /// same turns has the same object names and marks them if it fails before its transaction.
+    /// The caller must be sure that nothing refers to the objects, now or later. Indeterminate ones
+    /// are skipped, because rows may refer to them: a later checkpoint with the same turns has the
+    /// same object names and marks them if it fails before its transaction.
     pub(super) fn mark_garbage(&mut self, objects: impl IntoIterator<Item = ObjectName>) {
         let unused = objects.into_iter().filter(|object| !self.indeterminate.contains(object));
         self.garbage.extend(unused);
