--- a/src/node/batch.rs
+++ b/src/node/batch.rs
@@ -1,20 +1,20 @@
-//! Bodies of journal batches: in the row if they are small, else in an object that it names.
+//! Storage of journal batches: small ones in their table row, large ones in an object that the row
+//! refers to.
 
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
 
 use super::instance::Node;
-use super::journal::{FIRST_RETRY, MAX_RETRY};
+use super::journal::{MAX_RETRY_DELAY, MIN_RETRY_DELAY};
 use super::ownership::object_name;
 use super::platform::StoreError;
 use crate::core::history::{JournalBatch, JournalRecord};
 use crate::core::ids::ObjectName;
 use crate::core::timeline::CausalStamp;
 
-/// Largest body that goes into the table; rows are small in most tables, and slow when large.
-const INLINE_BYTES: usize = 32 * 1024;
+/// Larger batches go to the object store, as most tables limit the size of a row.
+const MAX_INLINE_BYTES: usize = 32 * 1024;
 
-/// A batch as its row keeps it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(tag = "kept", rename_all = "snake_case")]
 pub(crate) enum BatchRow {
@@ -23,7 +23,6 @@
 }
 
 impl BatchRow {
-    /// The object with the records, if they are not in the row.
     pub(crate) fn object(&self) -> Option<&ObjectName> {
         match self {
             Self::Inline(_) => None,
@@ -33,18 +32,18 @@
 }
 
 impl Node {
-    /// Makes a batch's row. A large body is stored first, so that a row never names an object
-    /// that is not there; built again, the batch has the same records and so the same name.
+    /// Stores a large body before the row that refers to it is committed. A retry with the same
+    /// records writes the same object.
     pub(super) async fn batch_row(&self, records: &[JournalRecord]) -> BatchRow {
         let body = serde_json::to_vec(records).expect("records serialize");
-        if body.len() <= INLINE_BYTES {
+        if body.len() <= MAX_INLINE_BYTES {
             return BatchRow::Inline(JournalBatch {
                 stamp: self.stamp(),
                 records: records.to_vec(),
             });
         }
         let object = object_name("batch", self.incarnation(), &body);
-        let mut retry = FIRST_RETRY;
+        let mut retry = MIN_RETRY_DELAY;
         loop {
             self.metrics.store_write();
             let stored = self.objects.put(&object, body.clone().into()).await;
@@ -53,11 +52,10 @@
                 return BatchRow::Object { stamp: self.stamp(), object };
             }
             sleep(retry).await;
-            retry = (retry * 2).min(MAX_RETRY);
+            retry = (retry * 2).min(MAX_RETRY_DELAY);
         }
     }
 
-    /// Reads a batch back.
     pub(super) async fn read_batch(&self, row: BatchRow) -> Result<JournalBatch, StoreError> {
         let (stamp, object) = match row {
             BatchRow::Inline(batch) => return Ok(batch),
--- a/src/node/calls/durability.rs
+++ b/src/node/calls/durability.rs
@@ -22,7 +22,7 @@
     /// Such a call could not be answered before the table recovers. The retry delay grows with the
     /// outage to spread the retries.
     pub(crate) fn check_store(&self) -> Result<(), CallRefusal> {
-        let Some(outage) = self.journal.failing_for() else { return Ok(()) };
+        let Some(outage) = self.journal.outage_duration() else { return Ok(()) };
         if outage < self.settings.limits.store_bound() {
             return Ok(());
         }
--- a/src/node/calls/service.rs
+++ b/src/node/calls/service.rs
@@ -97,7 +97,7 @@
                 return CallConclusion::refused(refusal);
             }
             // Nothing was sent, but the intent may be stored, and the next owner never sends it.
-            Err(JournalError::Open) => {
+            Err(JournalError::Indeterminate) => {
                 let outcome =
                     unknown_outcome("the call's owner was lost while it recorded the call", true);
                 return CallConclusion { outcome, records: Vec::new(), is_turn: false };
--- a/src/node/config_sync.rs
+++ b/src/node/config_sync.rs
@@ -6,7 +6,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::instance::Node;
-use super::journal::{CONFIG_HEAD, budget_key, is_open};
+use super::journal::{CONFIG_HEAD_KEY, budget_key, is_indeterminate};
 use super::platform::{CommitReply, RowKey, StoreError, TableTransaction, parse_row, scan_all};
 use crate::core::budget::BudgetRow;
 use crate::core::config::{
@@ -113,14 +113,14 @@
             && self.config_age() < FALLBACK_AGE
         {
             // Somebody has read the table a moment ago: it answers.
-            self.journal.set_unread(false);
+            self.journal.set_read_failing(false);
             let actions = self.members.borrow_mut().ping(&source, Instant::now());
             self.perform(actions);
             return;
         }
         let read_at = Instant::now();
         let answer = self.read_head().await;
-        self.journal.set_unread(answer.is_err());
+        self.journal.set_read_failing(answer.is_err());
         if let Ok(head) = answer {
             self.saw_config_head(head, read_at);
         }
@@ -200,7 +200,7 @@
     }
 
     async fn read_head(&self) -> Result<ConfigVersion, StoreError> {
-        let found = self.table.read(&[CONFIG_HEAD.into()]).await?.pop().flatten();
+        let found = self.table.read(&[CONFIG_HEAD_KEY.into()]).await?.pop().flatten();
         found.map_or(Ok(0), |row| parse_row(&row))
     }
 
@@ -290,7 +290,7 @@
 
     /// One attempt; `None` if another change got in between.
     async fn try_change(&self, body: &ChangeBody) -> Result<Option<ConfigVersion>, ChangeError> {
-        let head_row = self.table.read(&[CONFIG_HEAD.into()]).await?.pop().flatten();
+        let head_row = self.table.read(&[CONFIG_HEAD_KEY.into()]).await?.pop().flatten();
         let head_version = head_row.as_ref().map_or(0, |row| row.version);
         let head: ConfigVersion = head_row.map_or(Ok(0), |row| parse_row(&row))?;
         if head != self.config.borrow().version() {
@@ -298,8 +298,8 @@
         }
         let change = ConfigChange { version: head + 1, stamp: self.stamp(), body: body.clone() };
         let mut transaction = TableTransaction::default()
-            .check(CONFIG_HEAD, head_version)
-            .put(CONFIG_HEAD, &change.version)
+            .check(CONFIG_HEAD_KEY, head_version)
+            .put(CONFIG_HEAD_KEY, &change.version)
             .put(log_key(change.version), &change)
             .put(object_key(body), &change);
         if let ChangeBody::Workspace(spec) = body {
@@ -337,7 +337,7 @@
                     Err(error) => last = error,
                 },
                 Err(error) => {
-                    lost |= is_open(&error);
+                    lost |= is_indeterminate(&error);
                     last = error;
                 }
             }
--- a/src/node/grants.rs
+++ b/src/node/grants.rs
@@ -6,7 +6,10 @@
 use tokio::time::sleep;
 
 use super::instance::Node;
-use super::journal::{CONFIG_HEAD, FIRST_RETRY, MAX_RETRY, UNFENCED, budget_key, incarnation_key};
+use super::journal::{
+    CONFIG_HEAD_KEY, MAX_RETRY_DELAY, MIN_RETRY_DELAY, UNFENCED_VERSION, budget_key,
+    incarnation_key,
+};
 use super::platform::{RowKey, StoredRow, TableTransaction, parse_row};
 use crate::core::budget::{AccountRow, BudgetRow, DrawRequest};
 use crate::core::ids::{ConfigVersion, WorkspaceId};
@@ -38,7 +41,7 @@
                 sleep(self.settings.limits.budget_idle()).await;
                 self.ledger.borrow_mut().schedule_returns();
                 if self.ledger.borrow().needs_commit() {
-                    self.journal.wake();
+                    self.journal.request_commit();
                 }
             }
         });
@@ -78,11 +81,12 @@
         if workspaces.is_empty() {
             return BudgetRows::default();
         }
-        let mut keys: Vec<RowKey> = vec![CONFIG_HEAD.into(), incarnation_key(self.incarnation())];
+        let mut keys: Vec<RowKey> =
+            vec![CONFIG_HEAD_KEY.into(), incarnation_key(self.incarnation())];
         keys.extend(workspaces.iter().map(|workspace| budget_key(workspace)));
         let mut found = self.read_until_answered(&keys).await.into_iter();
         let head = found.next().flatten();
-        let fenced = found.next().flatten().is_some_and(|row| row.version != UNFENCED);
+        let fenced = found.next().flatten().is_some_and(|row| row.version != UNFENCED_VERSION);
         let head = Some(head.and_then(|row| parse_row(&row).ok()).unwrap_or(0));
         let mut budgets = BTreeMap::new();
         for (workspace, row) in workspaces.iter().zip(found) {
@@ -95,7 +99,7 @@
     }
 
     async fn read_until_answered(&self, keys: &[RowKey]) -> Vec<Option<StoredRow>> {
-        let mut retry = FIRST_RETRY;
+        let mut retry = MIN_RETRY_DELAY;
         loop {
             match self.table.read(keys).await {
                 Ok(found) => {
@@ -105,7 +109,7 @@
                 Err(_) => self.journal.set_failing(true),
             }
             sleep(retry).await;
-            retry = (retry * 2).min(MAX_RETRY);
+            retry = (retry * 2).min(MAX_RETRY_DELAY);
         }
     }
 
--- a/src/node/instance.rs
+++ b/src/node/instance.rs
@@ -10,7 +10,7 @@
 
 use super::calls::LiveCall;
 use super::engines::EngineDesk;
-use super::journal::{JournalWriter, UNFENCED, incarnation_key, run_journal};
+use super::journal::{JournalWriter, UNFENCED_VERSION, incarnation_key, run_journal};
 use super::metrics::{NodeMetrics, NodeSample};
 use super::ownership::{JournalTail, SegmentIndex};
 use super::peers::{PeerNetwork, TimedPeers};
@@ -327,7 +327,7 @@
             spent: totals.spent,
             programs: self.book.borrow().len() as u64,
             shards: self.serving_shards().len() as u64,
-            store_outage: self.journal.failing_for().unwrap_or_default(),
+            store_outage: self.journal.outage_duration().unwrap_or_default(),
         });
     }
 
@@ -400,7 +400,7 @@
 
     /// Makes a transaction fail once this incarnation has been fenced.
     pub(crate) fn fenced(&self, transaction: TableTransaction) -> TableTransaction {
-        transaction.check(incarnation_key(self.incarnation()), UNFENCED)
+        transaction.check(incarnation_key(self.incarnation()), UNFENCED_VERSION)
     }
 }
 
--- a/src/node/ownership/checkpoint.rs
+++ b/src/node/ownership/checkpoint.rs
@@ -1,4 +1,5 @@
-//! Checkpoints: they bound what a takeover has to read, and let the journal be trimmed.
+//! Writes checkpoints of the served shards, which bound the journal that a takeover has to read,
+//! and trims the journal behind them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -15,8 +16,7 @@
 use crate::node::journal::batch_key;
 use crate::node::platform::{CommitReply, StoreError, TableTransaction};
 
-/// Batches deleted in one transaction.
-const TRIM_CHUNK: u64 = 256;
+const MAX_TRIM_BATCHES: u64 = 256;
 
 impl Node {
     pub(crate) fn spawn_checkpoints(self: Rc<Self>) {
@@ -24,22 +24,22 @@
         actix_rt::spawn(async move {
             let mut trimmed = 0;
             let mut epoch = self.incarnation();
-            let mut last = 0;
+            let mut last_sequence = 0;
             while !self.is_stopped() {
                 sleep(interval).await;
-                self.purge_ended();
+                self.remove_expired_programs();
                 if epoch != self.incarnation() {
-                    (epoch, trimmed, last) = (self.incarnation(), 0, 0);
+                    (epoch, trimmed, last_sequence) = (self.incarnation(), 0, 0);
                 }
                 if let Err(error) = self.collect_incarnations().await {
                     self.event("collection_failed").detail(error.to_string()).log();
                 }
                 let sequence = self.journal.next_sequence();
-                if sequence == last && !self.leans_on_others() {
+                if sequence == last_sequence && !self.depends_on_other_journals() {
                     continue;
                 }
                 match self.checkpoint().await {
-                    Ok(()) => last = sequence,
+                    Ok(()) => last_sequence = sequence,
                     Err(error) => {
                         self.event("checkpoint_failed").detail(error.to_string()).log();
                         continue;
@@ -52,15 +52,13 @@
         });
     }
 
-    fn purge_ended(&self) {
+    fn remove_expired_programs(&self) {
         let before = self.wall().saturating_sub(self.settings.limits.retention());
         self.book.borrow_mut().remove_expired(before.as_millis() as u64);
     }
 
-    /// Writes all served shards as they are between two batches.
-    ///
-    /// The book shows exactly the batches below `next_sequence`: it takes records up when their
-    /// batch is durable and not before.
+    /// Records are applied to the book only once their batch is durable, so the book reflects
+    /// exactly the batches below `next_sequence`.
     pub(crate) async fn checkpoint(&self) -> Result<(), StoreError> {
         let epoch = self.incarnation();
         let sequence = self.journal.next_sequence();
@@ -82,21 +80,21 @@
             checkpoint.programs.extend(stored);
         }
         let body = serde_json::to_vec(&checkpoint).expect("programs serialize");
-        // Named by content: the same number may be tried again with fewer shards, and an object
-        // that rows refer to must not change.
+        // The name contains a hash of the content: a retry at the same sequence may cover fewer
+        // shards, and an object that rows refer to must not change.
         let object = object_name("checkpoint", epoch, &body);
         let bytes = body.len() + plan.bytes();
         let puts = plan.objects.len() + 1;
-        self.reclaim_plan(&plan, &object);
+        self.unmark_plan_garbage(&plan, &object);
         if let Err(error) = self.put_objects(&plan, &object, body.into()).await {
-            self.discard_plan(&plan, &object, &BTreeSet::new());
+            self.mark_plan_garbage(&plan, &object, &BTreeSet::new());
             return Err(error);
         }
-        let former = self.checkpoint_objects(&shards);
+        let previous = self.checkpoint_objects(&shards);
         let mut transaction = self.fenced(TableTransaction::default());
         let unchanged = self.served_views();
-        // A shard may have been handed over while the object was stored. Its row then names
-        // batches that the object lacks; writing the checkpoint into it would lose them.
+        // A shard may have been handed over while the object was stored. Its row then refers to
+        // batches that the checkpoint lacks and that would be lost.
         let mut included = BTreeSet::new();
         for (shard, view) in views.iter().filter(|(shard, view)| unchanged.get(shard) == Some(view))
         {
@@ -108,33 +106,33 @@
         if epoch != self.incarnation() {
             return Ok(());
         }
-        // A conflict is no proof that nothing was written: a table's client may have tried twice.
+        // A conflict does not prove that nothing was written: the table's client may have retried.
         if self.commit_fenced(&transaction).await == Ok(CommitReply::Committed) {
-            self.discard_plan(&plan, &object, &included);
+            self.mark_plan_garbage(&plan, &object, &included);
         } else {
             let names = plan.objects.iter().map(|part| part.name.clone());
-            self.segments.borrow_mut().leave_alone(names.chain([object.clone()]));
+            self.segments.borrow_mut().record_indeterminate(names.chain([object.clone()]));
         }
         self.reread_shards(&shards).await?;
         let written: Vec<ShardId> = {
             let table = self.shards.borrow();
-            let names = |shard: &ShardId| {
+            let is_written = |shard: &ShardId| {
                 table.view(*shard).and_then(|view| view.row.checkpoint.clone())
                     == Some(object.clone())
             };
-            shards.into_iter().filter(names).collect()
+            shards.into_iter().filter(is_written).collect()
         };
         if written.is_empty() {
             return Ok(());
         }
-        self.segments.borrow_mut().stored(&written, &plan, former);
+        self.segments.borrow_mut().record_checkpoint(&written, &plan, previous);
         let lists = plan.lists.into_iter().filter(|list| written.contains(&shard_of(list.program)));
         for list in lists {
             if let Some(program) = self.book.borrow_mut().get_mut(list.program) {
                 program.segments = list.segments;
             }
         }
-        self.drop_garbage().await?;
+        self.delete_garbage().await?;
         let count = checkpoint.programs.len();
         let detail = format!("programs={count} next={sequence} bytes={bytes} objects={puts}");
         self.event("checkpoint_written").detail(detail).log();
@@ -155,35 +153,38 @@
         self.objects.put(object, body).await
     }
 
-    /// Takes the objects of a plan back from what may be deleted.
-    ///
-    /// They are named by content. A checkpoint whose objects could not all be stored gave its names
-    /// up; the next one, with the same turns, uses them again. If its reply is lost and a shard moves
-    /// on with them, nobody here sees that they are in use: deleted, that history would be gone.
-    fn reclaim_plan(&self, plan: &SegmentPlan, object: &ObjectName) {
+    /// A failed checkpoint marks its objects as garbage, and a later one with the same turns has
+    /// the same object names. If the reply to its transaction is lost, rows may refer to objects
+    /// that are still marked, and deleting them would lose history.
+    fn unmark_plan_garbage(&self, plan: &SegmentPlan, object: &ObjectName) {
         let mut index = self.segments.borrow_mut();
-        index.reclaim(plan.objects.iter().map(|part| &part.name).chain([object]));
+        index.unmark_garbage(plan.objects.iter().map(|part| &part.name).chain([object]));
     }
 
-    /// Gives up the objects of a plan, except for those of `included` shards.
-    fn discard_plan(&self, plan: &SegmentPlan, object: &ObjectName, included: &BTreeSet<ShardId>) {
+    /// Marks the plan's objects except for those of `included` shards.
+    fn mark_plan_garbage(
+        &self,
+        plan: &SegmentPlan,
+        object: &ObjectName,
+        included: &BTreeSet<ShardId>,
+    ) {
         let unused = plan.objects.iter().filter(|part| !included.contains(&part.shard));
         let mut index = self.segments.borrow_mut();
-        index.discard(unused.map(|part| part.name.clone()));
+        index.mark_garbage(unused.map(|part| part.name.clone()));
         if included.is_empty() {
-            index.discard([object.clone()]);
+            index.mark_garbage([object.clone()]);
         }
     }
 
-    /// Whether a served shard still needs the journal of an earlier owner. Without a checkpoint
-    /// of its own, an instance that has no calls would keep the rows of the dead for ever.
-    fn leans_on_others(&self) -> bool {
+    /// If true, an instance without calls must write a checkpoint as well, or the journals of
+    /// previous owners are never collected.
+    fn depends_on_other_journals(&self) -> bool {
         let me = self.incarnation();
         let views = self.served_views();
         views.values().flat_map(|view| &view.row.spans).any(|span| span.incarnation != me)
     }
 
-    /// The rows of the shards that are served here and that the table gives to this instance.
+    /// Excludes shards that are still served here but already belong to another owner.
     fn served_views(&self) -> BTreeMap<ShardId, ShardView> {
         let me = self.identity();
         let table = self.shards.borrow();
@@ -197,13 +198,10 @@
         rows.filter_map(|view| view.row.checkpoint.clone()).collect()
     }
 
-    /// Deletes objects that no shard's row names any more.
-    ///
-    /// One object serves many shards, some of which may be elsewhere by now; a row that was read
-    /// before the object was made does not name it, and the object would be deleted while that
-    /// shard needs it. So all rows are read first. That is enough: the one transaction that put
-    /// the object into rows has happened, as one of its rows has come here.
-    async fn drop_garbage(&self) -> Result<(), StoreError> {
+    /// Shards that share an object may have moved to other instances, so all rows are read first.
+    /// A single transaction puts an object into rows, and it has been committed by now, so no row
+    /// can refer to the object later.
+    async fn delete_garbage(&self) -> Result<(), StoreError> {
         self.scan_shards().await?;
         let all: Vec<ShardId> = (0..self.settings.shards).collect();
         let used = self.checkpoint_objects(&all);
@@ -216,14 +214,13 @@
                 failed.insert(object);
             }
         }
-        self.segments.borrow_mut().keep_garbage(failed);
+        self.segments.borrow_mut().restore_garbage(failed);
         Ok(())
     }
 
     /// Deletes the batches of this incarnation that no shard needs; returns the first one kept.
-    ///
-    /// The rows are read first: a claim whose reply was lost names batches that this instance
-    /// would else delete. A claim that comes after the scan names none before `written`.
+    /// Reads the rows first, because a claim whose reply was lost may refer to batches that would
+    /// be deleted. A claim after the scan refers to none before `written`.
     async fn trim_journal(&self, from: u64) -> Result<u64, StoreError> {
         let incarnation = self.incarnation();
         let written = self.journal.next_sequence();
@@ -231,33 +228,33 @@
         if incarnation != self.incarnation() {
             return Ok(from);
         }
-        let until = self.first_needed(incarnation).min(written);
+        let until = self.first_needed_batch(incarnation).min(written);
         let mut next = from;
         while next < until {
-            let end = until.min(next + TRIM_CHUNK);
+            let end = until.min(next + MAX_TRIM_BATCHES);
             let mut transaction = self.fenced(TableTransaction::default());
             for sequence in next..end {
                 transaction = transaction.delete(batch_key(incarnation, sequence));
             }
-            self.drop_batch_objects(end).await;
+            self.delete_batch_objects(end).await;
             self.commit_fenced(&transaction).await?;
             next = end;
         }
         Ok(next)
     }
 
-    /// Deletes the objects of batches below `until` before their rows, so that a crash in between
-    /// leaves rows to find them by.
-    async fn drop_batch_objects(&self, until: u64) {
+    /// Runs before the rows are deleted: after a crash in between, the rows still refer to the
+    /// objects that are left.
+    async fn delete_batch_objects(&self, until: u64) {
         for object in self.journal.take_objects(until) {
             self.metrics.store_write();
             if self.objects.delete(&object).await.is_err() {
-                self.segments.borrow_mut().discard([object]);
+                self.segments.borrow_mut().mark_garbage([object]);
             }
         }
     }
 
-    fn first_needed(&self, incarnation: Incarnation) -> u64 {
+    fn first_needed_batch(&self, incarnation: Incarnation) -> u64 {
         let table = self.shards.borrow();
         let first = |row: &ShardRow| {
             let spans = row.spans.iter().filter(|span| span.incarnation == incarnation);
--- a/src/node/ownership/mod.rs
+++ b/src/node/ownership/mod.rs
@@ -1,4 +1,4 @@
-//! Claims, takes over and hands over shards, and keeps their checkpoints.
+//! Shard ownership of an instance: claims, takeovers, handovers and checkpoints.
 
 mod checkpoint;
 mod collect;
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::instance::Node;
-use super::journal::{UNFENCED, account_key, incarnation_key};
+use super::journal::{UNFENCED_VERSION, account_key, incarnation_key};
 use super::platform::{CommitReply, RowKey, StoreError, TableTransaction, parse_row, scan_all};
 use crate::core::ids::{Incarnation, ShardId};
 use crate::core::ownership::{ShardPhase, ShardRow, ShardView};
@@ -20,17 +20,15 @@
 pub(crate) use segments::{SegmentIndex, object_name};
 pub(crate) use takeover::JournalTail;
 
-const RECONCILE: Duration = Duration::from_millis(250);
-/// How often all shard rows are read though nothing hints at a change.
-const SCAN: Duration = Duration::from_secs(3);
-/// Time to hear of the other members before claiming anything.
-const FIRST_CLAIM: Duration = Duration::from_millis(800);
-/// Longest time to tell a member of shards that were let go; it would find them by itself.
+const RECONCILE_INTERVAL: Duration = Duration::from_millis(250);
+const SCAN_INTERVAL: Duration = Duration::from_secs(3);
+/// Lets membership converge before the first claim.
+const FIRST_CLAIM_DELAY: Duration = Duration::from_millis(800);
+/// Bounds a release hint to one member, which finds the shards by its next scan if it fails.
 const HINT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Shards in one transaction.
-const CLAIM_CHUNK: usize = 128;
-/// Times a claim is made anew because a batch of the journal got in before it.
-const CLAIM_ATTEMPTS: usize = 4;
+const MAX_CLAIM_SHARDS: usize = 128;
+/// Attempts of a claim that conflicts with concurrent commits of the own journal.
+const MAX_CLAIM_ATTEMPTS: usize = 4;
 
 pub(crate) const SHARD_PREFIX: &str = "shard/";
 
@@ -45,13 +43,14 @@
 impl Node {
     pub(crate) fn spawn_ownership(self: Rc<Self>) {
         actix_rt::spawn(async move {
-            sleep(FIRST_CLAIM).await;
+            sleep(FIRST_CLAIM_DELAY).await;
             self.members_changed();
             let mut next_scan = Instant::now();
             while !self.is_stopped() {
-                let hinted = timeout(RECONCILE, self.ownership_hint.notified()).await.is_ok();
+                let hinted =
+                    timeout(RECONCILE_INTERVAL, self.ownership_hint.notified()).await.is_ok();
                 if hinted || Instant::now() >= next_scan {
-                    next_scan = Instant::now() + SCAN;
+                    next_scan = Instant::now() + SCAN_INTERVAL;
                     if self.scan_shards().await.is_err() {
                         continue;
                     }
@@ -63,26 +62,24 @@
         });
     }
 
-    /// Another instance has let go of shards that should come here.
+    /// Called when another instance has released shards that this one should own.
     pub(crate) fn hint_shards(&self) {
         self.ownership_hint.notify_one();
     }
 
-    /// Whether this incarnation is not fenced, as the table says now.
-    ///
-    /// What this instance knows of its programs was complete at that moment: another owner's
-    /// writes come after the fence.
+    /// If true, this incarnation's view of its programs was complete at the time of the read, as
+    /// another owner can write only after the fence.
     pub(crate) async fn confirm_unfenced(&self) -> Result<bool, StoreError> {
         let epoch = self.incarnation();
         let found = self.table.read(&[incarnation_key(epoch)]).await?.pop().flatten();
-        let unfenced = found.is_some_and(|row| row.version == UNFENCED);
+        let unfenced = found.is_some_and(|row| row.version == UNFENCED_VERSION);
         if !unfenced && epoch == self.incarnation() {
             self.note_fenced();
         }
         Ok(unfenced)
     }
 
-    /// Commits a transaction made by [`Node::fenced`], and notices if the fence stopped it.
+    /// Commits a transaction made by [`Node::fenced`]; a conflict on the fence is recorded.
     async fn commit_fenced(
         &self,
         transaction: &TableTransaction,
@@ -96,19 +93,18 @@
         Ok(reply)
     }
 
-    /// An instance without calls writes nothing, so no failed write tells it that it was fenced.
-    /// It would keep its shards unserved by anyone, as the others see it alive.
-    async fn look_for_fence(&self) -> Result<(), StoreError> {
-        let recent = self.journal.last_commit().is_some_and(|last| last.elapsed() < SCAN);
+    /// An idle instance has no failing commit from which to detect a fence. The other members see
+    /// it alive, so its shards would stay unserved.
+    async fn check_fence_when_idle(&self) -> Result<(), StoreError> {
+        let recent = self.journal.last_commit().is_some_and(|last| last.elapsed() < SCAN_INTERVAL);
         if !recent {
             self.confirm_unfenced().await?;
         }
         Ok(())
     }
 
-    /// Reads all shard rows.
     pub(crate) async fn scan_shards(&self) -> Result<(), StoreError> {
-        self.look_for_fence().await?;
+        self.check_fence_when_idle().await?;
         for found in scan_all(&*self.table, SHARD_PREFIX).await? {
             let Some(shard) = parse_shard_key(&found.key) else { continue };
             let row: ShardRow = parse_row(&found.row)?;
@@ -130,14 +126,13 @@
         Ok(())
     }
 
-    /// Does what the plan says, once.
     async fn reconcile_shards(self: &Rc<Self>) -> Result<(), StoreError> {
         if self.journal.is_fenced() {
             return Ok(());
         }
         self.drop_lost_shards();
-        let over = self.incarnations_over();
-        let plan = self.shards.borrow().plan(&self.identity(), &over);
+        let ended = self.incarnations_over();
+        let plan = self.shards.borrow().plan(&self.identity(), &ended);
         for shard in plan.hand_over {
             self.shards.borrow_mut().set_phase(shard, ShardPhase::Draining);
         }
@@ -150,11 +145,8 @@
         Ok(())
     }
 
-    /// Forgets shards that the table no longer gives to this instance.
-    ///
-    /// The reply to a handover may be lost, and so may the look at the rows after it. A handover
-    /// that is tried again over the next owner's claim would pass, as it is made of the newest
-    /// row; it would end that owner's journal while it goes on writing.
+    /// If the reply to a handover and the read after it fail, a retried handover would be built
+    /// from the next owner's row and succeed, ending that owner's span while it still writes.
     fn drop_lost_shards(&self) {
         let lost = self.shards.borrow().lost_shards(&self.identity());
         for shard in &lost {
@@ -167,18 +159,18 @@
         }
     }
 
-    /// Claims shards of a fenced incarnation whose journal ended before batch `ended_at`, or,
-    /// with `former` absent, shards that nobody owns.
+    /// Claims shards of the fenced `previous_owner`, whose journal ends before batch `journal_end`,
+    /// or unowned shards if `previous_owner` is `None`.
     async fn claim_shards(
         self: &Rc<Self>,
         shards: &[ShardId],
-        former: Option<Incarnation>,
-        ended_at: u64,
+        previous_owner: Option<Incarnation>,
+        journal_end: u64,
     ) -> Result<(), StoreError> {
-        for chunk in shards.chunks(CLAIM_CHUNK) {
-            for _ in 0..CLAIM_ATTEMPTS {
-                let transaction = self.claim(chunk, former, ended_at);
-                // Whatever the reply says, or if it is lost: the rows tell who owns the shards.
+        for chunk in shards.chunks(MAX_CLAIM_SHARDS) {
+            for _ in 0..MAX_CLAIM_ATTEMPTS {
+                let transaction = self.claim(chunk, previous_owner, journal_end);
+                // The reply may be lost; the rows read below decide who owns the shards.
                 let reply = self.commit_fenced(&transaction).await;
                 let account = account_key(self.incarnation());
                 if !reply.is_ok_and(|reply| reply.conflicts_on(&account)) {
@@ -194,34 +186,31 @@
         Ok(())
     }
 
-    /// The transaction of a claim.
-    ///
-    /// It names the next batch of this journal as the first that may concern the shards, and
-    /// fails unless that is so: each batch writes the account's row once. A claim that arrives
-    /// late would else name batches that were trimmed, and nobody could load the shards again.
+    /// The spans start at the next batch of this journal. The version of the account's row is that
+    /// batch's number, and the check on it rejects a delayed claim: its spans would start at
+    /// trimmed batches, and the shards could not be loaded any more.
     fn claim(
         &self,
         shards: &[ShardId],
-        former: Option<Incarnation>,
-        ended_at: u64,
+        previous_owner: Option<Incarnation>,
+        journal_end: u64,
     ) -> TableTransaction {
         let sequence = self.journal.next_sequence();
         let mut transaction = self.fenced(TableTransaction::default());
         transaction = transaction.check(account_key(self.incarnation()), sequence);
         for shard in shards {
             let view = self.shards.borrow().view(*shard).cloned().unwrap_or_default();
-            // The row may have been seen to change since the claim was planned.
-            if view.row.owner.as_ref().map(|owner| owner.incarnation) != former {
+            // The row may have changed since the claim was planned.
+            if view.row.owner.as_ref().map(|owner| owner.incarnation) != previous_owner {
                 continue;
             }
-            let row = view.row.claimed(self.identity(), sequence, ended_at);
+            let row = view.row.claimed(self.identity(), sequence, journal_end);
             let key = shard_key(*shard);
             transaction = transaction.check(key.clone(), view.version).put(key, &row);
         }
         transaction
     }
 
-    /// Starts to serve shards whose rows name this incarnation.
     async fn adopt_shards(self: &Rc<Self>, shards: Vec<ShardId>) -> Result<(), StoreError> {
         if shards.is_empty() {
             return Ok(());
@@ -251,14 +240,13 @@
         }
     }
 
-    /// Gives up the shards whose running calls are done.
     async fn release_drained(self: &Rc<Self>) -> Result<(), StoreError> {
         let draining: Vec<ShardId> = {
             let shards = self.shards.borrow();
             let draining = shards.owned().filter(|(_, phase)| *phase == ShardPhase::Draining);
             draining.map(|(shard, _)| shard).filter(|shard| self.is_drained(*shard)).collect()
         };
-        for chunk in draining.chunks(CLAIM_CHUNK) {
+        for chunk in draining.chunks(MAX_CLAIM_SHARDS) {
             self.release_shards(chunk).await?;
         }
         Ok(())
@@ -292,13 +280,13 @@
         }
         self.shards_changed.notify_waiters();
         self.event("shards_released").detail(format!("count={}", released.len())).log();
-        // A task of its own: a member that hangs must not hold up claims and takeovers here.
-        actix_rt::spawn(self.clone().tell_released(released));
+        // Spawned, so that an unresponsive member does not delay claims and takeovers.
+        actix_rt::spawn(self.clone().notify_released(released));
         Ok(())
     }
 
-    /// Tells the next owners, so that they need not wait for their scans.
-    async fn tell_released(self: Rc<Self>, shards: Vec<ShardId>) {
+    /// Notifies the next owners, so that they need not wait for their next scan.
+    async fn notify_released(self: Rc<Self>, shards: Vec<ShardId>) {
         let me = &self.settings.instance;
         let others: Vec<_> = {
             let members = self.members.borrow();
--- a/src/node/ownership/segments.rs
+++ b/src/node/ownership/segments.rs
@@ -1,5 +1,5 @@
-//! Writes new turns as segment objects, reads them back when a program is called again, and
-//! tells which objects nobody needs any more.
+//! Stores new turns of programs as segment objects for checkpoints, loads them when a program is
+//! called again, and tracks which objects can be deleted.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,33 +13,30 @@
 use crate::node::instance::Node;
 use crate::node::platform::StoreError;
 
-/// Text in one segment object, about. It bounds what reading one program's turns fetches.
-const SEGMENT_BYTES: usize = 1024 * 1024;
-/// A program with more segments is written anew as one.
-const MAX_SEGMENTS: usize = 16;
-const FILL_RETRY: Duration = Duration::from_secs(1);
+/// Approximate text per segment object; bounds the data read to load one program's turns.
+const TARGET_SEGMENT_BYTES: usize = 1024 * 1024;
+/// Programs that reach it are compacted into one segment.
+const MAX_PROGRAM_SEGMENTS: usize = 16;
+const LOAD_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// An object to be put.
 pub(super) struct PlannedObject {
     pub(super) shard: ShardId,
     pub(super) name: ObjectName,
     pub(super) body: Bytes,
 }
 
-/// The objects of one checkpoint, and the segments that programs have after it.
+/// The segment objects of one checkpoint, and each program's segments after it.
 pub(super) struct SegmentPlan {
     epoch: Incarnation,
     pub(super) objects: Vec<PlannedObject>,
     pub(super) lists: Vec<SegmentList>,
-    open: SegmentObject,
-    open_bytes: usize,
-    shard: Vec<SegmentList>,
+    pending: SegmentObject,
+    pending_bytes: usize,
+    shard_lists: Vec<SegmentList>,
 }
 
-/// A name that no other content and no other incarnation gives.
-///
-/// An object that is deleted as unneeded is never put again by another owner, so a deposed owner
-/// that deletes late deletes nothing that is in use.
+/// The name is unique to the content and the incarnation. No other owner stores an object under
+/// it, so a late deletion by a deposed owner never removes an object in use.
 pub(crate) fn object_name(kind: &str, epoch: Incarnation, body: &[u8]) -> ObjectName {
     format!("{kind}/{epoch:012}/{:032x}", xxh3_128(body)).into()
 }
@@ -50,9 +47,9 @@
             epoch,
             objects: Vec::new(),
             lists: Vec::new(),
-            open: SegmentObject::default(),
-            open_bytes: 0,
-            shard: Vec::new(),
+            pending: SegmentObject::default(),
+            pending_bytes: 0,
+            shard_lists: Vec::new(),
         }
     }
 
@@ -60,42 +57,43 @@
         self.objects.iter().map(|object| object.body.len()).sum()
     }
 
-    /// Adds a program's new turns, or all of them if it has many segments.
+    /// Adds the program's unstored turns, or all turns if it is compacted.
     pub(super) fn add(&mut self, program: &ProgramRecord) {
-        let compact = program.segments.len() >= MAX_SEGMENTS && program.unloaded_turns == 0;
+        let compact = program.segments.len() >= MAX_PROGRAM_SEGMENTS && program.unloaded_turns == 0;
         let (kept, turns) = match compact {
             true => (Vec::new(), &program.turns[..]),
             false => (program.segments.clone(), program.unstored_turns()),
         };
-        self.shard.push(SegmentList { program: program.id, segments: kept });
+        self.shard_lists.push(SegmentList { program: program.id, segments: kept });
         if !turns.is_empty() {
-            self.open_bytes += turns.iter().map(turn_bytes).sum::<usize>();
-            self.open.programs.insert(program.id, turns.to_vec());
+            self.pending_bytes += turns.iter().map(turn_bytes).sum::<usize>();
+            self.pending.programs.insert(program.id, turns.to_vec());
         }
-        if self.open_bytes >= SEGMENT_BYTES {
+        if self.pending_bytes >= TARGET_SEGMENT_BYTES {
             self.close_object(shard_of(program.id));
         }
     }
 
-    /// Ends a shard: its objects hold no other shard's programs. Gives its programs' segments.
+    /// Finishes a shard, as an object never holds programs of two shards; returns the segments of
+    /// its programs.
     pub(super) fn close_shard(&mut self, shard: ShardId) -> Vec<SegmentList> {
         self.close_object(shard);
-        let lists = std::mem::take(&mut self.shard);
+        let lists = std::mem::take(&mut self.shard_lists);
         debug_assert!(lists.iter().all(|list| shard_of(list.program) == shard));
         self.lists.extend(lists.iter().cloned());
         lists
     }
 
     fn close_object(&mut self, shard: ShardId) {
-        let open = std::mem::take(&mut self.open);
-        self.open_bytes = 0;
-        if open.programs.is_empty() {
+        let pending = std::mem::take(&mut self.pending);
+        self.pending_bytes = 0;
+        if pending.programs.is_empty() {
             return;
         }
-        let body = serde_json::to_vec(&open).expect("turns serialize");
+        let body = serde_json::to_vec(&pending).expect("turns serialize");
         let name = object_name("segment", self.epoch, &body);
-        for list in &mut self.shard {
-            if let Some(turns) = open.programs.get(&list.program) {
+        for list in &mut self.shard_lists {
+            if let Some(turns) = pending.programs.get(&list.program) {
                 let turns = turns.len() as u32;
                 list.segments.push(SegmentRef { object: name.clone(), turns });
             }
@@ -112,19 +110,18 @@
     turn.input.len() + answer
 }
 
-/// Segment objects in use by the last checkpoint of each served shard, and what can go.
 #[derive(Debug, Default)]
 pub(crate) struct SegmentIndex {
+    /// Objects used by the last checkpoint of each served shard.
     shards: BTreeMap<ShardId, BTreeSet<ObjectName>>,
-    /// Objects that the next successful checkpoint may delete unless a row names them.
+    /// Deleted after the next successful checkpoint unless a row refers to them.
     garbage: BTreeSet<ObjectName>,
-    /// Objects of checkpoints whose transaction may have taken effect.
-    unanswered: BTreeSet<ObjectName>,
+    /// Objects of checkpoints whose transaction may or may not have taken effect.
+    indeterminate: BTreeSet<ObjectName>,
 }
 
 impl SegmentIndex {
-    /// Shards were loaded with these programs.
-    pub(super) fn loaded(&mut self, shards: &[ShardId], programs: &[ProgramRecord]) {
+    pub(super) fn record_loaded(&mut self, shards: &[ShardId], programs: &[ProgramRecord]) {
         for shard in shards {
             self.shards.insert(*shard, BTreeSet::new());
         }
@@ -134,64 +131,58 @@
         }
     }
 
-    /// Objects that nothing refers to and nothing ever will.
-    ///
-    /// Those of a checkpoint whose transaction went unanswered are not among them: it may have
-    /// taken effect, and a shard may have moved on with references to them. They are left alone.
-    ///
-    /// A later checkpoint with the same turns has objects of the same names. If it fails before its
-    /// transaction, it would else give up what the earlier one may have put into rows.
-    pub(super) fn discard(&mut self, objects: impl IntoIterator<Item = ObjectName>) {
-        let unused = objects.into_iter().filter(|object| !self.unanswered.contains(object));
+    /// The caller must be sure that nothing refers to the objects, now or later. Indeterminate ones
+    /// are skipped, because rows may refer to them: a later checkpoint with the same turns has the
+    /// same object names and marks them if it fails before its transaction.
+    pub(super) fn mark_garbage(&mut self, objects: impl IntoIterator<Item = ObjectName>) {
+        let unused = objects.into_iter().filter(|object| !self.indeterminate.contains(object));
         self.garbage.extend(unused);
     }
 
-    /// Keeps objects that rows may name, though nobody here has seen it.
-    pub(super) fn leave_alone(&mut self, objects: impl IntoIterator<Item = ObjectName>) {
-        self.unanswered.extend(objects);
+    pub(super) fn record_indeterminate(&mut self, objects: impl IntoIterator<Item = ObjectName>) {
+        self.indeterminate.extend(objects);
     }
 
-    /// Objects that are about to be stored, again perhaps, and referred to.
-    pub(super) fn reclaim<'a>(&mut self, objects: impl IntoIterator<Item = &'a ObjectName>) {
+    /// Must be called before objects are stored, as they may be marked from an earlier attempt.
+    pub(super) fn unmark_garbage<'a>(&mut self, objects: impl IntoIterator<Item = &'a ObjectName>) {
         for object in objects {
             self.garbage.remove(object);
         }
     }
 
-    /// A checkpoint stands in the rows of these shards. `former` are objects they named before.
-    pub(super) fn stored(
+    /// `previous` are the checkpoint objects that the rows of these shards referred to before.
+    pub(super) fn record_checkpoint(
         &mut self,
         shards: &[ShardId],
         plan: &SegmentPlan,
-        former: BTreeSet<ObjectName>,
+        previous: BTreeSet<ObjectName>,
     ) {
-        self.garbage.extend(former);
+        self.garbage.extend(previous);
         for shard in shards {
             let lists = plan.lists.iter().filter(|list| shard_of(list.program) == *shard);
             let used: BTreeSet<ObjectName> = lists
                 .flat_map(|list| list.segments.iter().map(|segment| segment.object.clone()))
                 .collect();
-            self.unanswered.retain(|object| !used.contains(object));
-            let former = self.shards.insert(*shard, used.clone()).unwrap_or_default();
-            self.garbage.extend(former.difference(&used).cloned());
+            self.indeterminate.retain(|object| !used.contains(object));
+            let previous = self.shards.insert(*shard, used.clone()).unwrap_or_default();
+            self.garbage.extend(previous.difference(&used).cloned());
             self.garbage.retain(|object| !used.contains(object));
         }
     }
 
-    /// Takes what can be deleted if no row names it.
+    /// The caller must check that no row refers to the objects before it deletes them.
     pub(super) fn take_garbage(&mut self) -> BTreeSet<ObjectName> {
         std::mem::take(&mut self.garbage)
     }
 
-    /// Puts back what could not be deleted.
-    pub(super) fn keep_garbage(&mut self, objects: BTreeSet<ObjectName>) {
+    pub(super) fn restore_garbage(&mut self, objects: BTreeSet<ObjectName>) {
         self.garbage.extend(objects);
     }
 }
 
 impl Node {
-    /// Reads the older turns of a program that was taken over, when it is first asked for.
-    pub(crate) async fn fill_turns(&self, program: ProgramId) -> Result<(), CallRefusal> {
+    /// Loads the older turns of a program that was taken over; does nothing if they are loaded.
+    pub(crate) async fn load_program_turns(&self, program: ProgramId) -> Result<(), CallRefusal> {
         let segments = {
             let book = self.book.borrow();
             book.get(program).map(ProgramRecord::unloaded_segments).unwrap_or_default()
@@ -208,7 +199,7 @@
             }
             Err(error) => {
                 self.event("history_unread").program(program).detail(error.to_string()).log();
-                Err(CallRefusal::retry(RefusalReason::StoreUnavailable, FILL_RETRY))
+                Err(CallRefusal::retry(RefusalReason::StoreUnavailable, LOAD_RETRY_DELAY))
             }
         }
     }
--- a/src/node/programs.rs
+++ b/src/node/programs.rs
@@ -248,7 +248,7 @@
     /// Reads the state of a program that is served here, as JSON.
     pub async fn show_here(&self, program: ProgramId) -> Result<Box<str>, CallRefusal> {
         self.confirm_owner(program).await?;
-        self.fill_turns(program).await?;
+        self.load_program_turns(program).await?;
         let book = self.book.borrow();
         let unknown = CallRefusal::permanent(RefusalReason::UnknownProgram);
         let view = self.view(book.get(program).ok_or(unknown)?);
@@ -278,7 +278,7 @@
 fn write_failure(error: JournalError) -> RequestFailure {
     match error {
         JournalError::Fenced => moving().into(),
-        JournalError::Open => RequestFailure::unknown(OWNER_LOST),
+        JournalError::Indeterminate => RequestFailure::unknown(OWNER_LOST),
     }
 }
 
