--- a/src/node/engines/choice.rs
+++ b/src/node/engines/choice.rs
@@ -53,13 +53,13 @@
 
     /// The engines of this instance, those that hold the program's prefix, and a few others.
     fn sample(&self, engines: Vec<RosterEntry>, program: ProgramId) -> Vec<RosterEntry> {
-        let mut desk = self.desk.borrow_mut();
+        let mut scheduler = self.slot_scheduler.borrow_mut();
         let residency = self.residency.borrow();
         let near = |engine: &RosterEntry| {
-            desk.slots.contains_key(&engine.id) || residency.holds(&engine.id, program)
+            scheduler.slots.contains_key(&engine.id) || residency.holds(&engine.id, program)
         };
         let (mut chosen, mut others): (Vec<_>, Vec<_>) = engines.into_iter().partition(near);
-        others.shuffle(&mut desk.rng);
+        others.shuffle(&mut scheduler.rng);
         chosen.extend(others.into_iter().take(SAMPLE));
         chosen
     }
@@ -76,8 +76,8 @@
         };
         let program = context.request.program;
         let resident = self.residency.borrow().resident(&engine.id, program, &shared);
-        let desk = self.desk.borrow();
-        if let Some(slots) = desk.slots.get(&engine.id) {
+        let scheduler = self.slot_scheduler.borrow();
+        if let Some(slots) = scheduler.slots.get(&engine.id) {
             let load = slots.load(Instant::now());
             let class = load.of(context.class);
             return EngineCandidate {
@@ -91,9 +91,9 @@
                 occupancy: load.occupancy,
             };
         }
-        let told = self.owner_load(desk.owners.get(&engine.id).map(|owner| &**owner));
+        let told = self.owner_load(scheduler.owners.get(&engine.id).map(|owner| &**owner));
         let class = told_load(told, context, model.slots);
-        let hint = desk.hints.get(&engine.id).filter(|hint| hint.at.elapsed() < HINT_LIFETIME);
+        let hint = scheduler.hints.get(&engine.id).filter(|hint| hint.at.elapsed() < HINT_LIFETIME);
         EngineCandidate {
             engine: engine.id.clone(),
             slots: model.slots,
--- a/src/node/engines/mod.rs
+++ b/src/node/engines/mod.rs
@@ -1,7 +1,7 @@
 //! Slots on engines: handed out here for the engines this instance owns, asked for elsewhere.
 
 mod choice;
-mod desk;
+mod scheduler;
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -24,11 +24,11 @@
 use crate::core::outcome::{CallRefusal, RefusalReason};
 use crate::core::ownership::assign_engines;
 
-pub(crate) use desk::EngineDesk;
-use desk::{EngineHint, FULL_RETRY};
+pub(crate) use scheduler::SlotScheduler;
+use scheduler::{EngineHint, FULL_RETRY};
 
 /// How often deadlines in the queues are looked at.
-const DESK_TICK: Duration = Duration::from_millis(50);
+const SLOT_TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a program that is not seen counts as living on an engine.
 const PROGRAM_IDLE: Duration = Duration::from_secs(60);
 /// Share of an engine's memory, in per mille, above which new programs wait.
@@ -72,7 +72,7 @@
 
 impl Drop for EnginePermit {
     fn drop(&mut self) {
-        self.node.desk.borrow_mut().revocations.remove(&self.permit);
+        self.node.slot_scheduler.borrow_mut().revocations.remove(&self.permit);
         match self.owner.take() {
             None => self.node.finish_permit(&self.engine.id, self.permit),
             Some(owner) => {
@@ -83,15 +83,15 @@
 }
 
 impl Node {
-    pub(crate) fn spawn_desk(self: Rc<Self>) {
+    pub(crate) fn spawn_slot_scheduler(self: Rc<Self>) {
         actix_rt::spawn(async move {
             while !self.is_stopped() {
-                sleep(DESK_TICK).await;
+                sleep(SLOT_TICK_INTERVAL).await;
                 let now = Instant::now();
-                self.desk.borrow_mut().advance(now);
-                let revocations = self.desk.borrow_mut().preempt(now);
+                self.slot_scheduler.borrow_mut().advance(now);
+                let revocations = self.slot_scheduler.borrow_mut().preempt(now);
                 self.clone().revoke(revocations);
-                let load = self.desk.borrow().load(now);
+                let load = self.slot_scheduler.borrow().load(now);
                 self.members.borrow_mut().set_load(load);
             }
         });
@@ -104,27 +104,27 @@
             self.members.borrow().serving().map(|member| member.instance.clone()).collect();
         let engines = entries.iter().map(|entry| entry.id.clone()).collect();
         let owners = assign_engines(engines, &members);
-        let mut desk = self.desk.borrow_mut();
+        let mut scheduler = self.slot_scheduler.borrow_mut();
         let mine: BTreeSet<_> = owners
             .iter()
             .filter(|(_, owner)| **owner == self.settings.instance)
             .map(|(engine, _)| engine.clone())
             .collect();
-        desk.slots.retain(|engine, _| mine.contains(engine));
+        scheduler.slots.retain(|engine, _| mine.contains(engine));
         for entry in entries.iter().filter(|entry| mine.contains(&entry.id)) {
             let Some(model) = self.settings.model(&entry.group) else { continue };
-            desk.slots.entry(entry.id.clone()).or_insert_with(|| new_slots(model));
+            scheduler.slots.entry(entry.id.clone()).or_insert_with(|| new_slots(model));
         }
-        desk.owners = owners;
-        desk.waiters.retain(|(engine, _), _| mine.contains(engine));
+        scheduler.owners = owners;
+        scheduler.waiters.retain(|(engine, _), _| mine.contains(engine));
         for entry in entries.iter().filter(|entry| entry.leaving) {
-            desk.refuse_waiting(&entry.id);
+            scheduler.refuse_waiting(&entry.id);
         }
     }
 
     /// Frees the slots of an instance that is no more.
     pub(crate) fn drop_holder(&self, holder: &str) {
-        self.desk.borrow_mut().drop_holder(holder);
+        self.slot_scheduler.borrow_mut().drop_holder(holder);
     }
 
     /// Asks the holders of slots to give them back.
@@ -146,14 +146,14 @@
 
     /// Tells a call of this instance that its slot is wanted back.
     pub(crate) fn revoke_permit(&self, permit: PermitId) {
-        if let Some(revoked) = self.desk.borrow().revocations.get(&permit) {
+        if let Some(revoked) = self.slot_scheduler.borrow().revocations.get(&permit) {
             revoked.notify_one();
         }
     }
 
     /// Forgets an ended program whose memory an engine has freed.
     pub(crate) fn end_on_engine(&self, engine: &str, program: ProgramId) {
-        if let Some(slots) = self.desk.borrow_mut().slots.get_mut(engine) {
+        if let Some(slots) = self.slot_scheduler.borrow_mut().slots.get_mut(engine) {
             slots.end_program(program);
         }
     }
@@ -165,9 +165,9 @@
             return PermitReply::Refused(FULL_RETRY);
         }
         let waiting = {
-            let mut desk = self.desk.borrow_mut();
+            let mut scheduler = self.slot_scheduler.borrow_mut();
             let now = Instant::now();
-            let Some(slots) = desk.slots.get_mut(&request.engine) else {
+            let Some(slots) = scheduler.slots.get_mut(&request.engine) else {
                 return PermitReply::NotOwner;
             };
             slots.enqueue(SlotRequest {
@@ -185,8 +185,8 @@
                 deadline: now + request.wait,
             });
             let (waiter, waiting) = oneshot::channel();
-            desk.waiters.insert((request.engine, request.permit), waiter);
-            desk.advance(now);
+            scheduler.waiters.insert((request.engine, request.permit), waiter);
+            scheduler.advance(now);
             waiting
         };
         waiting.await.unwrap_or(PermitReply::NotOwner)
@@ -195,11 +195,11 @@
     /// Takes a slot back.
     pub(crate) fn finish_permit(&self, engine: &str, permit: PermitId) {
         let now = Instant::now();
-        let mut desk = self.desk.borrow_mut();
-        if let Some(slots) = desk.slots.get_mut(engine) {
+        let mut scheduler = self.slot_scheduler.borrow_mut();
+        if let Some(slots) = scheduler.slots.get_mut(engine) {
             slots.release(permit, now);
         }
-        desk.advance(now);
+        scheduler.advance(now);
     }
 
     /// Gives a slot back to the instance that granted it, until it confirms or is no more.
@@ -243,7 +243,7 @@
                 return Err(CallRefusal::retry(RefusalReason::Overloaded, retry_after));
             };
             let owner = self.engine_owner(&engine.id);
-            let permit = self.desk.borrow_mut().mint_permit();
+            let permit = self.slot_scheduler.borrow_mut().mint_permit();
             let request = PermitRequest {
                 permit,
                 holder: self.settings.instance.clone(),
@@ -273,7 +273,7 @@
             match reply {
                 PermitReply::Granted => {
                     let revoked = Rc::new(Notify::new());
-                    self.desk.borrow_mut().revocations.insert(permit, revoked.clone());
+                    self.slot_scheduler.borrow_mut().revocations.insert(permit, revoked.clone());
                     let held = EnginePermit { node: self.clone(), engine, permit, owner, revoked };
                     // The engine may have been found leaving while the call waited for its slot.
                     if self.roster.borrow().is_serving(held.engine()) {
@@ -296,18 +296,18 @@
 
     /// Whether this instance hands out the engine's slots.
     pub(crate) fn owns_engine(&self, engine: &str) -> bool {
-        self.desk.borrow().slots.contains_key(engine)
+        self.slot_scheduler.borrow().slots.contains_key(engine)
     }
 
     fn hint(&self, engine: &str, wait: Duration) {
         let hint = EngineHint { wait, at: Instant::now() };
-        self.desk.borrow_mut().hints.insert(engine.into(), hint);
+        self.slot_scheduler.borrow_mut().hints.insert(engine.into(), hint);
     }
 
     /// The other instance that owns an engine; `None` if it is this one.
     fn engine_owner(&self, engine: &str) -> Option<MemberInfo> {
-        let desk = self.desk.borrow();
-        let owner = desk.owners.get(engine)?;
+        let scheduler = self.slot_scheduler.borrow();
+        let owner = scheduler.owners.get(engine)?;
         if *owner == self.settings.instance {
             return None;
         }
--- a/src/node/engines/desk.rs
+++ b/src/node/engines/scheduler.rs
@@ -32,7 +32,7 @@
 }
 
 /// All queues of the engines this instance owns, and what it knows of the others.
-pub(crate) struct EngineDesk {
+pub(crate) struct SlotScheduler {
     next_permit: PermitId,
     pub(super) slots: BTreeMap<UpstreamId, EngineSlots>,
     pub(super) owners: BTreeMap<UpstreamId, InstanceId>,
@@ -43,7 +43,7 @@
     pub(super) rng: SmallRng,
 }
 
-impl EngineDesk {
+impl SlotScheduler {
     pub(crate) fn new(incarnation: Incarnation, seed: u64) -> Self {
         Self {
             revocations: BTreeMap::new(),
--- a/src/node/instance.rs
+++ b/src/node/instance.rs
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::calls::LiveCall;
-use super::engines::EngineDesk;
+use super::engines::SlotScheduler;
 use super::journal::{JournalWriter, UNFENCED, incarnation_key, run_journal};
 use super::metrics::{NodeMetrics, NodeSample};
 use super::ownership::{JournalTail, SegmentIndex};
@@ -76,7 +76,7 @@
     pub(crate) ledger: RefCell<BudgetLedger>,
     pub(crate) config: RefCell<ConfigView>,
     pub(crate) residency: RefCell<ResidencyMap>,
-    pub(crate) desk: RefCell<EngineDesk>,
+    pub(crate) slot_scheduler: RefCell<SlotScheduler>,
     pub(crate) roster: RefCell<RosterView>,
     pub(crate) journal: JournalWriter,
     pub(crate) metrics: NodeMetrics,
@@ -126,7 +126,7 @@
     node.clone().spawn_roster();
     node.clone().spawn_config_sync();
     node.clone().spawn_ownership();
-    node.clone().spawn_desk();
+    node.clone().spawn_slot_scheduler();
     node.clone().spawn_release();
     node.clone().spawn_grant_review();
     node.clone().spawn_audit();
@@ -201,7 +201,7 @@
             ledger: RefCell::new(BudgetLedger::new(ledger, incarnation)),
             config: RefCell::default(),
             residency: RefCell::default(),
-            desk: RefCell::new(EngineDesk::new(incarnation, parts.seed)),
+            slot_scheduler: RefCell::new(SlotScheduler::new(incarnation, parts.seed)),
             roster: RefCell::default(),
             journal: JournalWriter::default(),
             metrics: NodeMetrics::new(&settings.instance),
