--- a/src/node/engines/mod.rs
+++ b/src/node/engines/mod.rs
@@ -35,7 +35,7 @@
 const NEWCOMERS: ColdProgramLimits = ColdProgramLimits { paying: 1300, trial: 1000 };
 /// Pause before an engine's owner is looked up again after it denied owning the engine.
 const OWNER_RETRY: Duration = Duration::from_millis(100);
-const GIVE_BACK_RETRY: Duration = Duration::from_millis(500);
+const RELEASE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What a call asks of an engine's queue.
 #[derive(Debug, Clone, Copy)]
@@ -74,9 +74,9 @@
     fn drop(&mut self) {
         self.node.slot_scheduler.borrow_mut().revocations.remove(&self.permit);
         match self.owner.take() {
-            None => self.node.finish_permit(&self.engine.id, self.permit),
+            None => self.node.release_permit(&self.engine.id, self.permit),
             Some(owner) => {
-                self.node.clone().give_back(owner, self.engine.id.clone(), self.permit);
+                self.node.clone().release_remote_permit(owner, self.engine.id.clone(), self.permit);
             }
         }
     }
@@ -152,14 +152,14 @@
     }
 
     /// Forgets an ended program whose memory an engine has freed.
-    pub(crate) fn end_on_engine(&self, engine: &str, program: ProgramId) {
+    pub(crate) fn forget_program(&self, engine: &str, program: ProgramId) {
         if let Some(slots) = self.slot_scheduler.borrow_mut().slots.get_mut(engine) {
             slots.end_program(program);
         }
     }
 
     /// Waits for a slot on an engine this instance owns.
-    pub(crate) async fn acquire_here(&self, request: PermitRequest) -> PermitReply {
+    pub(crate) async fn acquire_local_permit(&self, request: PermitRequest) -> PermitReply {
         let leaving = self.roster.borrow().get(&request.engine).is_some_and(|entry| entry.leaving);
         if leaving {
             return PermitReply::Refused(FULL_RETRY);
@@ -193,7 +193,7 @@
     }
 
     /// Takes a slot back.
-    pub(crate) fn finish_permit(&self, engine: &str, permit: PermitId) {
+    pub(crate) fn release_permit(&self, engine: &str, permit: PermitId) {
         let now = Instant::now();
         let mut scheduler = self.slot_scheduler.borrow_mut();
         if let Some(slots) = scheduler.slots.get_mut(engine) {
@@ -205,13 +205,18 @@
     /// Gives a slot back to the instance that granted it, until it confirms or is no more.
     ///
     /// A slot whose return was lost would stay taken for good.
-    fn give_back(self: Rc<Self>, owner: MemberInfo, engine: UpstreamId, permit: PermitId) {
+    fn release_remote_permit(
+        self: Rc<Self>,
+        owner: MemberInfo,
+        engine: UpstreamId,
+        permit: PermitId,
+    ) {
         actix_rt::spawn(async move {
             while !self.is_stopped() {
                 if self.peers.finish(&owner, &engine, permit).await.is_ok() {
                     return;
                 }
-                sleep(GIVE_BACK_RETRY).await;
+                sleep(RELEASE_RETRY_INTERVAL).await;
                 let members = self.members.borrow();
                 let known = members.get(&owner.instance);
                 if known.is_none_or(|member| member.incarnation != owner.incarnation) {
@@ -243,7 +248,7 @@
                 return Err(CallRefusal::retry(RefusalReason::Overloaded, retry_after));
             };
             let owner = self.engine_owner(&engine.id);
-            let permit = self.slot_scheduler.borrow_mut().mint_permit();
+            let permit = self.slot_scheduler.borrow_mut().allocate_permit();
             let request = PermitRequest {
                 permit,
                 holder: self.settings.instance.clone(),
@@ -259,12 +264,16 @@
                 wait: time_left(need.deadline),
             };
             let reply = match &owner {
-                None => self.acquire_here(request).await,
+                None => self.acquire_local_permit(request).await,
                 Some(owner) => match self.peers.acquire(owner, request).await {
                     Ok(reply) => reply,
                     Err(_) => {
                         // The request may wait there, or hold a slot nobody knows of.
-                        self.clone().give_back(owner.clone(), engine.id.clone(), permit);
+                        self.clone().release_remote_permit(
+                            owner.clone(),
+                            engine.id.clone(),
+                            permit,
+                        );
                         unreachable.push(engine.id.clone());
                         PermitReply::NotOwner
                     }
--- a/src/node/engines/scheduler.rs
+++ b/src/node/engines/scheduler.rs
@@ -88,7 +88,7 @@
         }
     }
 
-    pub(super) fn mint_permit(&mut self) -> PermitId {
+    pub(super) fn allocate_permit(&mut self) -> PermitId {
         self.next_permit += 1;
         self.next_permit
     }
--- a/src/node/peers/server.rs
+++ b/src/node/peers/server.rs
@@ -71,7 +71,7 @@
         let params = params.get()?;
         self.node.observe_stamp(read_stamp(params.get_stamp()?));
         let request = read_permit(params.get_request()?)?;
-        let reply = self.node.acquire_here(request).await;
+        let reply = self.node.acquire_local_permit(request).await;
         let mut answer = results.get();
         write_stamp(answer.reborrow().init_stamp(), self.node.stamp());
         let mut result = answer.init_result();
@@ -92,7 +92,7 @@
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
         self.node.observe_stamp(read_stamp(params.get_stamp()?));
-        self.node.finish_permit(params.get_engine()?.to_str()?, params.get_permit());
+        self.node.release_permit(params.get_engine()?.to_str()?, params.get_permit());
         Ok(())
     }
 
--- a/src/node/release.rs
+++ b/src/node/release.rs
@@ -102,7 +102,7 @@
         let freeing = self.engines.release(&entry.address, release.program);
         let freed = matches!(timeout(RELEASE_TIMEOUT, freeing).await, Ok(Ok(())));
         if freed {
-            self.end_on_engine(&release.engine, release.program);
+            self.forget_program(&release.engine, release.program);
         }
         freed
     }
--- a/src/standin/network.rs
+++ b/src/standin/network.rs
@@ -174,7 +174,7 @@
         to: &MemberInfo,
         request: PermitRequest,
     ) -> Result<PermitReply, PeerError> {
-        Ok(self.reach(to).await?.acquire_here(request).await)
+        Ok(self.reach(to).await?.acquire_local_permit(request).await)
     }
 
     async fn finish(
@@ -183,7 +183,7 @@
         engine: &str,
         permit: PermitId,
     ) -> Result<(), PeerError> {
-        self.reach(to).await?.finish_permit(engine, permit);
+        self.reach(to).await?.release_permit(engine, permit);
         Ok(())
     }
 
