--- a/src/node/engines/choice.rs
+++ b/src/node/engines/choice.rs
@@ -1,4 +1,4 @@
-//! Which engine a call is placed on, from what this instance knows.
+//! Chooses an engine for a call from its own queues and the loads that other instances report.
 
 use std::time::Duration;
 
@@ -16,19 +16,16 @@
 use crate::node::instance::Node;
 use crate::node::platform::{RosterEntry, RosterRole};
 
-/// A load another instance told is believed for so long.
-const HINT_LIFETIME: Duration = Duration::from_secs(2);
-/// Random engines of others that a call looks at.
-///
-/// If every call looked at all, instances that hear the same late reports would all send their
-/// calls to the same engine until the next report.
-const SAMPLE: usize = 2;
-/// What a slot of another instance's engine counts: two messages, and a load known late.
-const REMOTE_COST: Duration = Duration::from_millis(500);
-/// A token to prefill counts so many times its time: it also delays the other calls of the engine.
-const PREFILL_WEIGHT: u32 = 3;
-/// Above this share of an engine's memory, in per mille, memory decides where programs begin.
-const CROWDED: u16 = 500;
+const MAX_HINT_AGE: Duration = Duration::from_secs(2);
+/// Number of random remote engines considered per call. Considering all of them would make
+/// instances with the same stale reports herd onto one engine.
+const SAMPLE_SIZE: usize = 2;
+/// Penalty of a remote engine: its permit takes two messages and its load report is stale.
+const REMOTE_PERMIT_COST: Duration = Duration::from_millis(500);
+/// Multiplies prefill time, as prefill also delays the other calls of the engine.
+const PREFILL_COST_FACTOR: u32 = 3;
+/// Memory pressure, in per mille, above which it decides the placement of cold programs.
+const PRESSURE_THRESHOLD: u16 = 500;
 
 impl Node {
     pub(super) fn choose_engine(
@@ -43,24 +40,27 @@
         let candidates: Vec<_> =
             engines.iter().map(|engine| self.candidate(engine, context, model)).collect();
         let per_token = Duration::from_micros(model.prefill_micros_per_token.into());
-        let cost = PrefillCost { per_token: per_token * PREFILL_WEIGHT };
-        let chooser =
-            CacheAwareChooser { cost, remote_cost: REMOTE_COST, pressure_threshold: CROWDED };
+        let cost = PrefillCost { per_token: per_token * PREFILL_COST_FACTOR };
+        let chooser = CacheAwareChooser {
+            cost,
+            remote_cost: REMOTE_PERMIT_COST,
+            pressure_threshold: PRESSURE_THRESHOLD,
+        };
         let need = EngineNeed { prompt: context.prompt_tokens(), cold: context.newcomer };
         let index = chooser.choose(&candidates, need)?;
         Some(engines.swap_remove(index))
     }
 
-    /// The engines of this instance, those that hold the program's prefix, and a few others.
+    /// Returns local engines, those that hold the program's prefix, and random others.
     fn sample(&self, engines: Vec<RosterEntry>, program: ProgramId) -> Vec<RosterEntry> {
         let mut scheduler = self.slot_scheduler.borrow_mut();
         let residency = self.residency.borrow();
-        let near = |engine: &RosterEntry| {
+        let preferred = |engine: &RosterEntry| {
             scheduler.slots.contains_key(&engine.id) || residency.holds(&engine.id, program)
         };
-        let (mut chosen, mut others): (Vec<_>, Vec<_>) = engines.into_iter().partition(near);
+        let (mut chosen, mut others): (Vec<_>, Vec<_>) = engines.into_iter().partition(preferred);
         others.shuffle(&mut scheduler.rng);
-        chosen.extend(others.into_iter().take(SAMPLE));
+        chosen.extend(others.into_iter().take(SAMPLE_SIZE));
         chosen
     }
 
@@ -91,9 +91,9 @@
                 occupancy: load.occupancy,
             };
         }
-        let told = self.owner_load(scheduler.owners.get(&engine.id).map(|owner| &**owner));
-        let class = told_load(told, context, model.slots);
-        let hint = scheduler.hints.get(&engine.id).filter(|hint| hint.at.elapsed() < HINT_LIFETIME);
+        let reported = self.owner_load(scheduler.owners.get(&engine.id).map(|owner| &**owner));
+        let class = reported_load(reported, context, model.slots);
+        let hint = scheduler.hints.get(&engine.id).filter(|hint| hint.at.elapsed() < MAX_HINT_AGE);
         EngineCandidate {
             engine: engine.id.clone(),
             slots: model.slots,
@@ -101,12 +101,12 @@
             wait: hint.map_or(class.wait, |hint| hint.wait),
             resident,
             local: false,
-            pressure: told.pressure,
-            occupancy: told.hold(),
+            pressure: reported.pressure,
+            occupancy: reported.hold(),
         }
     }
 
-    /// What the owner of an engine last told of its engines' mean load.
+    /// Returns the mean engine load that the owner reported last, zero if it is unknown.
     fn owner_load(&self, owner: Option<&str>) -> MemberLoad {
         let members = self.members.borrow();
         let owner = owner.and_then(|owner| members.get(owner));
@@ -114,9 +114,9 @@
     }
 }
 
-/// A class's load on an engine whose owner tells this of its engines.
-fn told_load(told: MemberLoad, context: &CallContext, slots: usize) -> ClassLoad {
-    let load = usize::from(told.of(context.class)) * slots / 1000;
+/// Estimates a class's load on a remote engine from its owner's mean load.
+fn reported_load(reported: MemberLoad, context: &CallContext, slots: usize) -> ClassLoad {
+    let load = usize::from(reported.of(context.class)) * slots / 1000;
     let ahead = (load + 1).saturating_sub(slots) as u32;
-    ClassLoad { load, wait: told.hold() * ahead / slots as u32 }
+    ClassLoad { load, wait: reported.hold() * ahead / slots as u32 }
 }
