--- a/src/node/engines/mod.rs
+++ b/src/node/engines/mod.rs
@@ -1,4 +1,5 @@
-//! Slots on engines: handed out here for the engines this instance owns, asked for elsewhere.
+//! Acquires engine slots for calls: from the local queue if this instance owns the engine, from
+//! the owner otherwise.
 
 mod choice;
 mod scheduler;
@@ -25,28 +26,27 @@
 use crate::core::ownership::assign_engines;
 
 pub(crate) use scheduler::SlotScheduler;
-use scheduler::{EngineHint, FULL_RETRY};
+use scheduler::{EngineHint, MIN_RETRY_DELAY};
 
-/// How often deadlines in the queues are looked at.
 const SLOT_TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a program that is not seen counts as living on an engine.
-const PROGRAM_IDLE: Duration = Duration::from_secs(60);
-/// Share of an engine's memory, in per mille, above which new programs wait.
-const NEWCOMERS: ColdProgramLimits = ColdProgramLimits { paying: 1300, trial: 1000 };
-/// Pause before an engine's owner is looked up again after it denied owning the engine.
-const OWNER_RETRY: Duration = Duration::from_millis(100);
+/// A program without calls for this long no longer counts towards an engine's working set.
+const PROGRAM_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Memory pressure, in per mille, above which calls of cold programs wait.
+const COLD_PROGRAM_LIMITS: ColdProgramLimits = ColdProgramLimits { paying: 1300, trial: 1000 };
+/// Delay before the owner is looked up again after it denied owning the engine or did not answer.
+const OWNER_RETRY_DELAY: Duration = Duration::from_millis(100);
 const RELEASE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a call asks of an engine's queue.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SlotNeed {
-    /// Its worst case, and the part that takes memory of its own.
+    /// Upper bound for the whole call.
     pub(crate) tokens: Tokens,
+    /// Part of `tokens` that is not in a shared prefix.
     pub(crate) own_tokens: Tokens,
     pub(crate) deadline: Instant,
 }
 
-/// A slot held on an engine; dropping it gives the slot back.
+/// A slot held on an engine, released on drop.
 pub(crate) struct EnginePermit {
     node: Rc<Node>,
     engine: RosterEntry,
@@ -64,7 +64,7 @@
         &self.engine.address
     }
 
-    /// Completes when the engine's owner wants the slot back.
+    /// Completes when the engine's owner has revoked the permit.
     pub(crate) async fn revoked(&self) {
         self.revoked.notified().await;
     }
@@ -97,7 +97,7 @@
         });
     }
 
-    /// Recomputes who owns which engine, after a change of members or of the roster.
+    /// To be called after a change of members or of the roster.
     pub(crate) fn reassign_engines(&self) {
         let entries = self.roster.borrow().all(RosterRole::Engine);
         let members: Vec<InstanceId> =
@@ -105,31 +105,29 @@
         let engines = entries.iter().map(|entry| entry.id.clone()).collect();
         let owners = assign_engines(engines, &members);
         let mut scheduler = self.slot_scheduler.borrow_mut();
-        let mine: BTreeSet<_> = owners
+        let owned: BTreeSet<_> = owners
             .iter()
             .filter(|(_, owner)| **owner == self.settings.instance)
             .map(|(engine, _)| engine.clone())
             .collect();
-        scheduler.slots.retain(|engine, _| mine.contains(engine));
-        for entry in entries.iter().filter(|entry| mine.contains(&entry.id)) {
+        scheduler.slots.retain(|engine, _| owned.contains(engine));
+        for entry in entries.iter().filter(|entry| owned.contains(&entry.id)) {
             let Some(model) = self.settings.model(&entry.group) else { continue };
             scheduler.slots.entry(entry.id.clone()).or_insert_with(|| new_slots(model));
         }
         scheduler.owners = owners;
-        scheduler.waiters.retain(|(engine, _), _| mine.contains(engine));
+        scheduler.waiters.retain(|(engine, _), _| owned.contains(engine));
         for entry in entries.iter().filter(|entry| entry.leaving) {
             scheduler.refuse_waiting(&entry.id);
         }
     }
 
-    /// Frees the slots of an instance that is no more.
+    /// Releases all slots of a dead instance.
     pub(crate) fn drop_holder(&self, holder: &str) {
         self.slot_scheduler.borrow_mut().drop_holder(holder);
     }
 
-    /// Asks the holders of slots to give them back.
-    ///
-    /// A message that is lost costs the paying call the rest of the trial call, no more.
+    /// Notifies the holders once; if a message is lost, the trial call keeps its slot to its end.
     fn revoke(self: Rc<Self>, revocations: Vec<SlotRevocation>) {
         for SlotRevocation { permit, holder } in revocations {
             if holder == self.settings.instance {
@@ -144,25 +142,23 @@
         }
     }
 
-    /// Tells a call of this instance that its slot is wanted back.
     pub(crate) fn revoke_permit(&self, permit: PermitId) {
         if let Some(revoked) = self.slot_scheduler.borrow().revocations.get(&permit) {
             revoked.notify_one();
         }
     }
 
-    /// Forgets an ended program whose memory an engine has freed.
+    /// To be called when the engine has freed the memory of an ended program.
     pub(crate) fn forget_program(&self, engine: &str, program: ProgramId) {
         if let Some(slots) = self.slot_scheduler.borrow_mut().slots.get_mut(engine) {
             slots.end_program(program);
         }
     }
 
-    /// Waits for a slot on an engine this instance owns.
     pub(crate) async fn acquire_local_permit(&self, request: PermitRequest) -> PermitReply {
         let leaving = self.roster.borrow().get(&request.engine).is_some_and(|entry| entry.leaving);
         if leaving {
-            return PermitReply::Refused(FULL_RETRY);
+            return PermitReply::Refused(MIN_RETRY_DELAY);
         }
         let waiting = {
             let mut scheduler = self.slot_scheduler.borrow_mut();
@@ -192,7 +188,6 @@
         waiting.await.unwrap_or(PermitReply::NotOwner)
     }
 
-    /// Takes a slot back.
     pub(crate) fn release_permit(&self, engine: &str, permit: PermitId) {
         let now = Instant::now();
         let mut scheduler = self.slot_scheduler.borrow_mut();
@@ -202,9 +197,8 @@
         scheduler.advance(now);
     }
 
-    /// Gives a slot back to the instance that granted it, until it confirms or is no more.
-    ///
-    /// A slot whose return was lost would stay taken for good.
+    /// Retries until the owner confirms or its incarnation ends: an unreleased slot would stay
+    /// occupied.
     fn release_remote_permit(
         self: Rc<Self>,
         owner: MemberInfo,
@@ -226,7 +220,7 @@
         });
     }
 
-    /// Chooses an engine for a call and waits for a slot there.
+    /// Waits for a slot on an engine outside `avoid`, trying other engines after a refusal.
     pub(crate) async fn acquire_engine(
         self: &Rc<Self>,
         context: &CallContext,
@@ -234,15 +228,15 @@
         avoid: &[UpstreamId],
     ) -> Result<EnginePermit, CallRefusal> {
         let mut refused: Vec<UpstreamId> = avoid.to_vec();
-        // Engines whose owners do not answer: tried again when no other has room.
+        // Engines whose owners did not answer; retried when no other engine is left.
         let mut unreachable: Vec<UpstreamId> = Vec::new();
-        let mut retry_after = FULL_RETRY;
+        let mut retry_after = MIN_RETRY_DELAY;
         loop {
             let excluded = [refused.as_slice(), unreachable.as_slice()].concat();
             let Some(engine) = self.choose_engine(context, &excluded) else {
                 if !unreachable.is_empty() && !time_left(context.deadline).is_zero() {
                     unreachable.clear();
-                    sleep(OWNER_RETRY).await;
+                    sleep(OWNER_RETRY_DELAY).await;
                     continue;
                 }
                 return Err(CallRefusal::retry(RefusalReason::Overloaded, retry_after));
@@ -268,7 +262,7 @@
                 Some(owner) => match self.peers.acquire(owner, request).await {
                     Ok(reply) => reply,
                     Err(_) => {
-                        // The request may wait there, or hold a slot nobody knows of.
+                        // The owner may have queued or granted the request before the failure.
                         self.clone().release_remote_permit(
                             owner.clone(),
                             engine.id.clone(),
@@ -284,7 +278,7 @@
                     let revoked = Rc::new(Notify::new());
                     self.slot_scheduler.borrow_mut().revocations.insert(permit, revoked.clone());
                     let held = EnginePermit { node: self.clone(), engine, permit, owner, revoked };
-                    // The engine may have been found leaving while the call waited for its slot.
+                    // The engine may have left service while the call waited.
                     if self.roster.borrow().is_serving(held.engine()) {
                         return Ok(held);
                     }
@@ -292,10 +286,10 @@
                 }
                 PermitReply::Refused(wait) => {
                     retry_after = wait;
-                    self.hint(&engine.id, wait);
+                    self.record_hint(&engine.id, wait);
                     refused.push(engine.id);
                 }
-                PermitReply::NotOwner => sleep(OWNER_RETRY).await,
+                PermitReply::NotOwner => sleep(OWNER_RETRY_DELAY).await,
             }
             if time_left(need.deadline).is_zero() {
                 return Err(CallRefusal::retry(RefusalReason::Overloaded, retry_after));
@@ -303,17 +297,16 @@
         }
     }
 
-    /// Whether this instance hands out the engine's slots.
     pub(crate) fn owns_engine(&self, engine: &str) -> bool {
         self.slot_scheduler.borrow().slots.contains_key(engine)
     }
 
-    fn hint(&self, engine: &str, wait: Duration) {
+    fn record_hint(&self, engine: &str, wait: Duration) {
         let hint = EngineHint { wait, at: Instant::now() };
         self.slot_scheduler.borrow_mut().hints.insert(engine.into(), hint);
     }
 
-    /// The other instance that owns an engine; `None` if it is this one.
+    /// Returns `None` if this instance owns the engine or the owner is unknown.
     fn engine_owner(&self, engine: &str) -> Option<MemberInfo> {
         let scheduler = self.slot_scheduler.borrow();
         let owner = scheduler.owners.get(engine)?;
@@ -325,9 +318,9 @@
 }
 
 fn new_slots(model: &ModelSettings) -> EngineSlots {
-    let memory = WorkingSet::new(model.cache_tokens, PROGRAM_IDLE);
+    let memory = WorkingSet::new(model.cache_tokens, PROGRAM_IDLE_TIMEOUT);
     let mut slots =
         EngineSlots::new(model.slots, memory, Box::new(LeastAttainedService::default()));
-    slots.limit_cold_programs(NEWCOMERS);
+    slots.limit_cold_programs(COLD_PROGRAM_LIMITS);
     slots
 }
--- a/src/node/engines/scheduler.rs
+++ b/src/node/engines/scheduler.rs
@@ -1,4 +1,4 @@
-//! The queues of the engines that this instance owns, and what it knows of the others.
+//! Slot queues of the engines that this instance owns, and routing hints for the others.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -14,31 +14,29 @@
 use crate::core::members::MemberLoad;
 use crate::node::peers::PermitReply;
 
-/// When a refused call should come back at the earliest.
-pub(super) const FULL_RETRY: Duration = Duration::from_secs(1);
-/// Permits of successive incarnations start so far apart.
+pub(super) const MIN_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Size of each incarnation's permit id range; a restarted instance must not reuse an id.
 const PERMITS_PER_INCARNATION: u64 = 1 << 24;
-/// A paying call that has waited for so long takes the slot of a trial call.
-const PREEMPT_AFTER: Duration = Duration::from_millis(250);
-const MOST: usize = u16::MAX as usize;
+/// Time that a paying call waits before it preempts a trial call.
+const PREEMPTION_DELAY: Duration = Duration::from_millis(250);
+const MAX_PER_MILLE: usize = u16::MAX as usize;
 
 pub(super) type GrantWaiter = oneshot::Sender<PermitReply>;
 
-/// What was last heard of an engine that another instance owns.
+/// Expected wait for a slot, as given by the last refusal of an engine's owner.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EngineHint {
     pub(super) wait: Duration,
     pub(super) at: Instant,
 }
 
-/// All queues of the engines this instance owns, and what it knows of the others.
 pub(crate) struct SlotScheduler {
     next_permit: PermitId,
     pub(super) slots: BTreeMap<UpstreamId, EngineSlots>,
     pub(super) owners: BTreeMap<UpstreamId, InstanceId>,
     pub(super) waiters: BTreeMap<(UpstreamId, PermitId), GrantWaiter>,
     pub(super) hints: BTreeMap<UpstreamId, EngineHint>,
-    /// Tells the calls of this instance that their slot is wanted back, wherever it is.
+    /// Permits of this instance's calls, on local and remote engines.
     pub(super) revocations: BTreeMap<PermitId, Rc<Notify>>,
     pub(super) rng: SmallRng,
 }
@@ -56,7 +54,7 @@
         }
     }
 
-    /// Grants what can be granted and answers those who wait.
+    /// Grants free slots and answers the waiters. A grant whose waiter is gone is released.
     pub(super) fn advance(&mut self, now: Instant) {
         for (engine, slots) in &mut self.slots {
             for event in slots.advance(now) {
@@ -64,26 +62,26 @@
                     SlotEvent::Granted(permit) => (permit, PermitReply::Granted),
                     SlotEvent::Expired(permit, class) => {
                         let wait = slots.load(now).of(class).wait;
-                        (permit, PermitReply::Refused(wait.max(FULL_RETRY)))
+                        (permit, PermitReply::Refused(wait.max(MIN_RETRY_DELAY)))
                     }
                 };
                 let waiter = self.waiters.remove(&(engine.clone(), permit));
-                let unheard = waiter.is_none_or(|waiter| waiter.send(reply.clone()).is_err());
-                if unheard && reply == PermitReply::Granted {
+                let undelivered = waiter.is_none_or(|waiter| waiter.send(reply.clone()).is_err());
+                if undelivered && reply == PermitReply::Granted {
                     slots.release(permit, now);
                 }
             }
         }
     }
 
-    /// Sends those who wait for a leaving engine to others; the queue would else go on handing its
-    /// slots out for as long as calls may wait.
+    /// Refuses the calls queued for a leaving engine, so that they are placed elsewhere instead of
+    /// being granted its slots until their deadlines.
     pub(super) fn refuse_waiting(&mut self, engine: &str) {
         let Some(slots) = self.slots.get_mut(engine) else { return };
         for event in slots.refuse_waiting() {
             let (SlotEvent::Expired(permit, _) | SlotEvent::Granted(permit)) = event;
             if let Some(waiter) = self.waiters.remove(&(engine.into(), permit)) {
-                let _ = waiter.send(PermitReply::Refused(FULL_RETRY));
+                let _ = waiter.send(PermitReply::Refused(MIN_RETRY_DELAY));
             }
         }
     }
@@ -99,12 +97,13 @@
         }
     }
 
-    /// The mean load of the engines here, as other instances are told.
+    /// Returns the mean load of the local engines, for other instances.
     pub(super) fn load(&self, now: Instant) -> MemberLoad {
         let mean = EngineLoad::mean(self.slots.values().map(|slots| slots.load(now)));
         let all: usize = self.slots.values().map(EngineSlots::capacity).sum();
         let capacity = all / self.slots.len().max(1);
-        let per_mille = |class: ClassLoad| (class.load * 1000 / capacity.max(1)).min(MOST) as u16;
+        let per_mille =
+            |class: ClassLoad| (class.load * 1000 / capacity.max(1)).min(MAX_PER_MILLE) as u16;
         MemberLoad {
             paying: per_mille(mean.paying),
             trial: per_mille(mean.trial),
@@ -113,11 +112,11 @@
         }
     }
 
-    /// Slots to take back from trial calls for paying ones that have waited too long.
+    /// Returns the trial calls' slots to revoke for paying calls past `PREEMPTION_DELAY`.
     pub(super) fn preempt(&mut self, now: Instant) -> Vec<SlotRevocation> {
         let mut revocations = Vec::new();
         for slots in self.slots.values_mut() {
-            while let Some(revocation) = slots.preempt(now, PREEMPT_AFTER) {
+            while let Some(revocation) = slots.preempt(now, PREEMPTION_DELAY) {
                 revocations.push(revocation);
             }
         }
