--- a/src/node/peers/server.rs
+++ b/src/node/peers/server.rs
@@ -125,7 +125,7 @@
         let params = params.get()?;
         self.node.observe_stamp(read_stamp(params.get_stamp()?));
         let programs: Vec<u64> = params.get_programs()?.iter().collect();
-        let ended = self.node.ended_here(&programs);
+        let ended = self.node.ended_locally(&programs);
         results.get().set_programs(&ended[..])
     }
 
--- a/src/node/release.rs
+++ b/src/node/release.rs
@@ -1,4 +1,4 @@
-//! Frees engine memory of programs that have ended, and ends those that are idle or orphaned.
+//! Releases the engine memory of ended programs, and ends programs that are idle or orphaned.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -14,11 +14,10 @@
 use crate::core::ids::{ProgramId, ShardId, UpstreamId, shard_of};
 use crate::core::ownership::ShardPhase;
 
-const RELEASE_TICK: Duration = Duration::from_millis(500);
+const RELEASE_INTERVAL: Duration = Duration::from_millis(500);
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
-const ENGINES_AT_ONCE: usize = 16;
-/// How often an engine is asked what it holds.
-const SWEEP: Duration = Duration::from_secs(10);
+const MAX_CONCURRENT_ENGINES: usize = 16;
+const SWEEP_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Memory that an engine may hold for an ended program.
 #[derive(Debug, Clone, PartialEq)]
@@ -32,20 +31,20 @@
         let releasing = self.clone();
         actix_rt::spawn(async move {
             while !releasing.is_stopped() {
-                sleep(RELEASE_TICK).await;
+                sleep(RELEASE_INTERVAL).await;
                 releasing.release_ended().await;
             }
         });
         let ending = self.clone();
         actix_rt::spawn(async move {
             while !ending.is_stopped() {
-                sleep(RELEASE_TICK).await;
-                ending.end_unwanted().await;
+                sleep(RELEASE_INTERVAL).await;
+                ending.end_obsolete_programs().await;
             }
         });
         actix_rt::spawn(async move {
             while !self.is_stopped() {
-                sleep(SWEEP).await;
+                sleep(SWEEP_INTERVAL).await;
                 self.sweep_engines().await;
             }
         });
@@ -57,8 +56,8 @@
 
     /// Repeats the release of every ended program until its engines confirm it.
     ///
-    /// Engines are asked side by side, and one that does not answer is left for the next round: a
-    /// single silent engine would otherwise hold up the memory of all others, a timeout a program.
+    /// Engines are handled concurrently, and one that does not answer is skipped until the next
+    /// round, so that it does not delay the release of memory on the others.
     async fn release_ended(&self) {
         let mut pending: BTreeMap<UpstreamId, Vec<PendingRelease>> = BTreeMap::new();
         for program in self.book.borrow().iter() {
@@ -69,11 +68,15 @@
             }
         }
         let engines = iter(pending.into_values());
-        engines.for_each_concurrent(ENGINES_AT_ONCE, |releases| self.release_all(releases)).await;
+        engines
+            .for_each_concurrent(MAX_CONCURRENT_ENGINES, |releases| {
+                self.release_on_engine(releases)
+            })
+            .await;
     }
 
-    /// Releases programs on one engine until it fails to answer, and journals what it confirmed.
-    async fn release_all(&self, releases: Vec<PendingRelease>) {
+    /// Stops at the first request that the engine does not confirm; journals the confirmed ones.
+    async fn release_on_engine(&self, releases: Vec<PendingRelease>) {
         let epoch = self.incarnation();
         let mut confirmed = Vec::new();
         for release in releases {
@@ -93,31 +96,31 @@
         }
     }
 
-    /// Whether the engine holds nothing for the program any more.
+    /// Returns true if the engine holds no more memory for the program.
     async fn release(&self, release: &PendingRelease) -> bool {
         self.residency.borrow_mut().drop_program(&release.engine, release.program);
         let entry = self.roster.borrow().get(&release.engine).cloned();
-        // An engine that the platform lists no more is gone, and its memory with it.
+        // An engine that has left the roster is gone, and its memory with it.
         let Some(entry) = entry else { return true };
-        let freeing = self.engines.release(&entry.address, release.program);
-        let freed = matches!(timeout(RELEASE_TIMEOUT, freeing).await, Ok(Ok(())));
-        if freed {
+        let request = self.engines.release(&entry.address, release.program);
+        let released = matches!(timeout(RELEASE_TIMEOUT, request).await, Ok(Ok(())));
+        if released {
             self.forget_program(&release.engine, release.program);
         }
-        freed
+        released
     }
 
-    /// Ends programs that are idle, whose workspace is retired or whose parent has ended.
-    async fn end_unwanted(self: &Rc<Self>) {
-        let mut unwanted: Vec<(ProgramId, EndReason)> = Vec::new();
+    /// Ends programs that are idle or whose workspace is retired or whose parent has ended.
+    async fn end_obsolete_programs(self: &Rc<Self>) {
+        let mut obsolete: Vec<(ProgramId, EndReason)> = Vec::new();
         let mut parents: BTreeMap<ProgramId, Vec<ProgramId>> = BTreeMap::new();
         for program in self.book.borrow().iter() {
             let live = program.ended.is_none() && program.running.is_none();
             if !live || !self.is_serving(shard_of(program.id)) {
                 continue;
             }
-            if let Some(reason) = self.unwanted(program) {
-                unwanted.push((program.id, reason));
+            if let Some(reason) = self.end_reason(program) {
+                obsolete.push((program.id, reason));
             } else if let Some(parent) = program.parent {
                 parents.entry(parent).or_default().push(program.id);
             }
@@ -125,14 +128,14 @@
         let ended = self.ended_programs(parents.keys().copied().collect()).await;
         for parent in ended {
             let children = parents.remove(&parent).unwrap_or_default();
-            unwanted.extend(children.into_iter().map(|child| (child, EndReason::ParentEnded)));
+            obsolete.extend(children.into_iter().map(|child| (child, EndReason::ParentEnded)));
         }
-        // Side by side, so that they share commits: a retired workspace may have thousands.
-        let ending = unwanted.into_iter().map(|(program, reason)| self.end_here(program, reason));
+        // Concurrently, so that many programs of a retired workspace share commits.
+        let ending = obsolete.into_iter().map(|(program, reason)| self.end_here(program, reason));
         join_all(ending).await;
     }
 
-    fn unwanted(&self, program: &ProgramRecord) -> Option<EndReason> {
+    fn end_reason(&self, program: &ProgramRecord) -> Option<EndReason> {
         let config = self.config.borrow();
         if config.workspace(&program.workspace).is_some_and(|found| found.value.retired) {
             return Some(EndReason::WorkspaceRetired);
@@ -142,32 +145,31 @@
         (idle >= definition.value.idle_limit).then_some(EndReason::Idle)
     }
 
-    /// Which of these programs have ended, whoever owns them; those whose owner cannot tell now
-    /// are left out.
+    /// Filters for ended programs, local and remote. Omits those whose owner does not answer.
     async fn ended_programs(&self, programs: Vec<ProgramId>) -> Vec<ProgramId> {
         let mut ended = Vec::new();
-        let mut elsewhere: BTreeMap<ShardId, Vec<ProgramId>> = BTreeMap::new();
+        let mut remote: BTreeMap<ShardId, Vec<ProgramId>> = BTreeMap::new();
         for program in programs {
             if self.is_serving(shard_of(program)) {
-                ended.extend(self.ended_here(&[program]));
+                ended.extend(self.ended_locally(&[program]));
             } else {
-                elsewhere.entry(shard_of(program)).or_default().push(program);
+                remote.entry(shard_of(program)).or_default().push(program);
             }
         }
-        let asking = elsewhere.into_iter().map(|(shard, programs)| self.ask_owner(shard, programs));
-        ended.extend(join_all(asking).await.into_iter().flatten());
+        let queries = remote.into_iter().map(|(shard, programs)| self.query_owner(shard, programs));
+        ended.extend(join_all(queries).await.into_iter().flatten());
         ended
     }
 
-    async fn ask_owner(&self, shard: ShardId, programs: Vec<ProgramId>) -> Vec<ProgramId> {
+    async fn query_owner(&self, shard: ShardId, programs: Vec<ProgramId>) -> Vec<ProgramId> {
         let Some(peer) = self.shard_peer(shard) else { return Vec::new() };
-        let answer = timeout(RELEASE_TIMEOUT, self.peers.ended(&peer, programs)).await;
-        answer.ok().and_then(Result::ok).unwrap_or_default()
+        let reply = timeout(RELEASE_TIMEOUT, self.peers.ended(&peer, programs)).await;
+        reply.ok().and_then(Result::ok).unwrap_or_default()
     }
 
-    /// Which of these programs have ended, as far as this instance serves their shards. A program
-    /// that a served shard does not know has ended long ago: ids are never used twice.
-    pub(crate) fn ended_here(&self, programs: &[ProgramId]) -> Vec<ProgramId> {
+    /// Filters for ended programs in the shards served here. A program unknown to its shard has
+    /// ended, as ids are never reused.
+    pub(crate) fn ended_locally(&self, programs: &[ProgramId]) -> Vec<ProgramId> {
         let book = self.book.borrow();
         let ended = |program: &ProgramId| {
             self.is_serving(shard_of(*program))
@@ -176,21 +178,19 @@
         programs.iter().copied().filter(ended).collect()
     }
 
-    /// Compares what the engines of this instance hold with what lives.
-    ///
-    /// This finds memory that no history mentions: a call was sent and its owner died before
-    /// anything of it was journaled.
+    /// Finds memory that no journal record names, because the instance that sent the call died
+    /// before it journaled anything of it.
     async fn sweep_engines(&self) {
         let mut engines = self.roster.borrow().all(RosterRole::Engine);
         engines.retain(|engine| self.owns_engine(&engine.id));
         iter(engines)
-            .for_each_concurrent(ENGINES_AT_ONCE, |engine| self.sweep_engine(engine))
+            .for_each_concurrent(MAX_CONCURRENT_ENGINES, |engine| self.sweep_engine(engine))
             .await;
     }
 
     async fn sweep_engine(&self, engine: RosterEntry) {
-        let asking = timeout(RELEASE_TIMEOUT, self.engines.held(&engine.address)).await;
-        let Ok(Ok(held)) = asking else { return };
+        let reply = timeout(RELEASE_TIMEOUT, self.engines.held(&engine.address)).await;
+        let Ok(Ok(held)) = reply else { return };
         let programs = held.into_iter().map(|held| held.program).collect();
         for program in self.ended_programs(programs).await {
             let release = PendingRelease { program, engine: engine.id.clone() };
--- a/src/standin/network.rs
+++ b/src/standin/network.rs
@@ -206,7 +206,7 @@
         to: &MemberInfo,
         programs: Vec<ProgramId>,
     ) -> Result<Vec<ProgramId>, PeerError> {
-        Ok(self.reach(to).await?.ended_here(&programs))
+        Ok(self.reach(to).await?.ended_locally(&programs))
     }
 
     async fn changes_since(
