--- a/src/node/audit.rs
+++ b/src/node/audit.rs
@@ -1,5 +1,5 @@
-//! Recovers budget that dead incarnations hold: closes accounts that no takeover closes, and asks
-//! the engines what a dead incarnation's last attempts really cost.
+//! Recovers budget drawn by dead incarnations: closes accounts that no takeover closes, and
+//! refunds unresolved spending once the engines have reported its actual cost.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -19,77 +19,76 @@
 use crate::core::members::MemberState;
 use crate::core::ownership::IncarnationRow;
 
-const AUDIT: Duration = Duration::from_secs(5);
-/// The instance that serves this shard does the audits; two at once do no harm.
+const AUDIT_INTERVAL: Duration = Duration::from_secs(5);
+/// The instance that serves this shard runs the audits. Concurrent audits are safe.
 const AUDIT_SHARD: u16 = 0;
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Engines asked at once.
-const CLOSE_PARALLEL: usize = 16;
-/// After so long the engines' answers are given up and the tokens stay counted as spent.
-const GIVE_UP: Duration = Duration::from_secs(600);
-/// Time to hear of the members before an incarnation without a member counts as over.
-const MEMBERS_KNOWN: Duration = Duration::from_secs(10);
+const MAX_CONCURRENT_CLOSES: usize = 16;
+/// After this time unresolved tokens count as spent.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(600);
+/// Minimum uptime before an incarnation without a member counts as ended; gossip may not have
+/// delivered the member list earlier.
+const MIN_MEMBERSHIP_UPTIME: Duration = Duration::from_secs(10);
 
-/// Answers of the engines about one dead incarnation, so far.
 type CostsByEngine = BTreeMap<UpstreamId, AttemptClosure>;
 type TokensByWorkspace = BTreeMap<WorkspaceId, Tokens>;
 
 impl Node {
     pub(crate) fn spawn_audit(self: Rc<Self>) {
         actix_rt::spawn(async move {
-            let mut answers: BTreeMap<Incarnation, CostsByEngine> = BTreeMap::new();
-            let mut watched: Option<BTreeSet<Incarnation>> = None;
+            let mut replies: BTreeMap<Incarnation, CostsByEngine> = BTreeMap::new();
+            let mut tracked: Option<BTreeSet<Incarnation>> = None;
             while !self.is_stopped() {
-                sleep(AUDIT).await;
+                sleep(AUDIT_INTERVAL).await;
                 if !self.serving_shards().contains(&AUDIT_SHARD) {
-                    answers.clear();
-                    watched = None;
+                    replies.clear();
+                    tracked = None;
                     continue;
                 }
-                let _ = self.close_orphans(&mut watched).await;
-                let _ = self.recover_stranded(&mut answers).await;
+                let _ = self.close_orphans(&mut tracked).await;
+                let _ = self.recover_unresolved(&mut replies).await;
             }
         });
     }
 
-    /// Closes accounts of incarnations that are over and own no shard.
+    /// Closes accounts of ended incarnations that own no shard.
     ///
-    /// An instance that hands over its shards and dies before it gives its grants back is met by
-    /// no takeover; its tokens would count as drawn for ever. All accounts are read once, when this
-    /// instance begins to audit; from then on only those of members that went.
+    /// No takeover covers an instance that dies after it has handed over its shards but before it
+    /// has returned its grants. All accounts are scanned once, when this instance becomes the
+    /// auditor; later only departed members are checked.
     async fn close_orphans(
         &self,
-        watched: &mut Option<BTreeSet<Incarnation>>,
+        tracked: &mut Option<BTreeSet<Incarnation>>,
     ) -> Result<(), StoreError> {
-        if watched.is_none() {
+        if tracked.is_none() {
             let found = scan_all(&*self.table, ACCOUNT_PREFIX).await?;
             let incarnations =
                 found.iter().filter_map(|row| parse_incarnation(row, ACCOUNT_PREFIX));
-            *watched = Some(incarnations.collect());
+            *tracked = Some(incarnations.collect());
         }
-        let Some(watched) = watched else { return Ok(()) };
-        let living = self.living_incarnations();
-        watched.extend(&living);
-        let gone: Vec<_> = watched.difference(&living).copied().collect();
-        for incarnation in gone {
-            if self.is_over(incarnation).await? && self.is_quiet(incarnation).await? {
+        let Some(tracked) = tracked else { return Ok(()) };
+        let live = self.live_incarnations();
+        tracked.extend(&live);
+        let departed: Vec<_> = tracked.difference(&live).copied().collect();
+        for incarnation in departed {
+            if self.has_ended(incarnation).await? && self.is_quiet(incarnation).await? {
                 self.fence(incarnation).await?;
                 self.close_account(incarnation).await?;
                 self.suspects.borrow_mut().remove(&incarnation);
-                watched.remove(&incarnation);
+                tracked.remove(&incarnation);
             }
         }
         Ok(())
     }
 
-    fn living_incarnations(&self) -> BTreeSet<Incarnation> {
+    fn live_incarnations(&self) -> BTreeSet<Incarnation> {
         let members = self.members.borrow();
-        let living = members.iter().filter(|member| member.state != MemberState::Dead);
-        living.map(|member| member.incarnation).chain([self.incarnation()]).collect()
+        let live = members.iter().filter(|member| member.state != MemberState::Dead);
+        live.map(|member| member.incarnation).chain([self.incarnation()]).collect()
     }
 
-    async fn is_over(&self, incarnation: Incarnation) -> Result<bool, StoreError> {
-        if self.uptime() < MEMBERS_KNOWN {
+    async fn has_ended(&self, incarnation: Incarnation) -> Result<bool, StoreError> {
+        if self.uptime() < MIN_MEMBERSHIP_UPTIME {
             return Ok(false);
         }
         let key = incarnation_key(incarnation);
@@ -101,27 +100,27 @@
         }))
     }
 
-    async fn recover_stranded(
+    async fn recover_unresolved(
         &self,
-        answers: &mut BTreeMap<Incarnation, CostsByEngine>,
+        replies: &mut BTreeMap<Incarnation, CostsByEngine>,
     ) -> Result<(), StoreError> {
         for found in scan_all(&*self.table, STRANDED_PREFIX).await? {
             let Some(incarnation) = parse_incarnation(&found, STRANDED_PREFIX) else { continue };
             let row: UnresolvedSpending = parse_row(&found.row)?;
-            let costs = answers.entry(incarnation).or_default();
-            self.ask_engines(incarnation, &row, costs).await;
+            let costs = replies.entry(incarnation).or_default();
+            self.close_attempts(incarnation, &row, costs).await;
             let total = self.total_costs(&row, costs);
             let age = self.wall().saturating_sub(Duration::from_millis(row.closed_millis));
-            if total.is_some() || age > GIVE_UP {
-                self.settle_stranded(incarnation, &found, &row, total).await?;
-                answers.remove(&incarnation);
+            if total.is_some() || age > RECOVERY_TIMEOUT {
+                self.settle_unresolved(incarnation, &found, &row, total).await?;
+                replies.remove(&incarnation);
             }
         }
         Ok(())
     }
 
-    /// Stops the dead incarnation's attempts on every engine that has not confirmed that yet.
-    async fn ask_engines(
+    /// Closes the incarnation's attempts on the engines that are not yet in `costs`.
+    async fn close_attempts(
         &self,
         incarnation: Incarnation,
         row: &UnresolvedSpending,
@@ -130,29 +129,27 @@
         let mut engines = self.roster.borrow().all(RosterRole::Engine);
         engines.retain(|engine| !costs.contains_key(&engine.id));
         let request = CloseRequest { incarnation, from: row.open_from };
-        let asking = engines.into_iter().map(|engine| self.ask_engine(engine, request));
-        let mut asked = iter(asking).buffer_unordered(CLOSE_PARALLEL);
-        while let Some((engine, closure)) = asked.next().await {
+        let requests = engines.into_iter().map(|engine| self.close_attempts_on(engine, request));
+        let mut replies = iter(requests).buffer_unordered(MAX_CONCURRENT_CLOSES);
+        while let Some((engine, closure)) = replies.next().await {
             if let Some(closure) = closure {
                 costs.insert(engine, closure);
             }
         }
     }
 
-    async fn ask_engine(
+    async fn close_attempts_on(
         &self,
         engine: RosterEntry,
         request: CloseRequest,
     ) -> (UpstreamId, Option<AttemptClosure>) {
-        let closing = timeout(CLOSE_TIMEOUT, self.engines.close_attempts(&engine.address, request));
-        (engine.id, closing.await.ok().and_then(Result::ok))
+        let reply = timeout(CLOSE_TIMEOUT, self.engines.close_attempts(&engine.address, request));
+        (engine.id, reply.await.ok().and_then(Result::ok))
     }
 
-    /// What the dead incarnation's open attempts cost in all, or `None` while that is not certain.
-    ///
-    /// It is uncertain if an engine has not answered, if one remembers less than the time in
-    /// question because it restarted, or if one may have left the roster in that time: each may
-    /// have billed tokens that no answer shows, and to give those back would overspend.
+    /// Returns the total cost of the open attempts, or `None` if some may be unreported: an engine
+    /// has not answered, has restarted within the window or may have left the roster within it.
+    /// Refunding unreported tokens would overspend the budget.
     fn total_costs(
         &self,
         row: &UnresolvedSpending,
@@ -177,8 +174,8 @@
         Some(total)
     }
 
-    /// Gives back what was not spent; all of it counts as spent if the costs stayed unknown.
-    async fn settle_stranded(
+    /// Refunds unspent tokens; with an unknown `total` all tokens count as spent.
+    async fn settle_unresolved(
         &self,
         incarnation: Incarnation,
         found: &KeyedRow,
@@ -206,7 +203,7 @@
             transaction = transaction.check(key.clone(), stored.version).put(key, &next);
         }
         self.metrics.store_write();
-        // A conflict or a lost reply: the next audit sees whether the row is still there.
+        // After a conflict or a lost reply the next audit checks whether the row still exists.
         if self.table.commit(&transaction).await.is_ok() {
             let certain = total.is_some();
             self.event("stranded_settled")
