--- a/src/node/grants.rs
+++ b/src/node/grants.rs
@@ -1,4 +1,4 @@
-//! Grants that a journal commit draws from budget rows or gives back to them.
+//! Adds budget draws and returns to the transaction of a journal commit.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -11,15 +11,14 @@
 use crate::core::budget::{AccountRow, BudgetRow, DrawRequest};
 use crate::core::ids::{ConfigVersion, WorkspaceId};
 
-/// The part of a commit that concerns budgets.
 pub(super) struct GrantPlan {
     draws: Vec<DrawRequest>,
-    /// How the rows stand after the commit.
+    /// Budget rows as the commit leaves them.
     rows: BTreeMap<WorkspaceId, BudgetRow>,
     account: AccountRow,
-    /// The configuration's head as it was read together with the rows.
+    /// Configuration head, read together with the budget rows.
     pub(super) head: Option<ConfigVersion>,
-    /// Whether anything has to be written.
+    /// False if a commit without records can be skipped.
     pub(super) needed: bool,
 }
 
@@ -27,7 +26,7 @@
 struct BudgetRows {
     budgets: BTreeMap<WorkspaceId, (BudgetRow, u64)>,
     head: Option<ConfigVersion>,
-    /// This incarnation has been fenced: the rows count its spending already.
+    /// This incarnation has been fenced, and the rows already include its spending.
     fenced: bool,
 }
 
@@ -44,7 +43,7 @@
         });
     }
 
-    /// Decides what to draw and to return, and adds it to the commit's transaction.
+    /// Adds draws and returns to the transaction.
     pub(super) async fn plan_grants(
         &self,
         mut transaction: TableTransaction,
@@ -65,15 +64,15 @@
             rows.insert(workspace, change.row);
             changes.push(change);
         }
-        // A fenced incarnation commits in any case, to learn of its fence. Its ledger and the row
-        // both count what it spent, so a refusal for good would be wrong.
+        // A fenced incarnation always commits and so detects its fence. Refusing draws instead
+        // would be wrong, as its ledger and the rows both count its spending.
         let needed = !changes.is_empty() || ledger.can_raise_ceiling() || found.fenced;
         let account = ledger.prepare_row(&changes, self.wall().as_millis() as u64);
         let head = found.head;
         (transaction, GrantPlan { draws, rows, account, head, needed })
     }
 
-    /// Reads the budget rows a commit may change, until the table answers.
+    /// Retries until the table answers.
     async fn read_budgets(&self, workspaces: &[WorkspaceId]) -> BudgetRows {
         if workspaces.is_empty() {
             return BudgetRows::default();
@@ -109,13 +108,12 @@
         }
     }
 
-    /// The commit has taken effect.
     pub(super) fn grants_committed(&self, plan: &GrantPlan) {
         let mut ledger = self.ledger.borrow_mut();
         ledger.apply_commit(&plan.account, &plan.draws, &plan.rows);
     }
 
-    /// Nothing was written because nothing could be drawn.
+    /// To be called when nothing was written because nothing could be drawn.
     pub(super) fn grants_refused(&self, plan: &GrantPlan) {
         self.ledger.borrow_mut().apply_refusal(&plan.draws, &plan.rows);
     }
