--- a/src/node/operators/client.rs
+++ b/src/node/operators/client.rs
@@ -1,4 +1,4 @@
-//! What operators' tools use to talk to an instance.
+//! RPC client for operators' tools.
 
 use std::time::Duration;
 
@@ -21,13 +21,12 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Why an operator's request failed.
 #[derive(Debug, Display, Error, From)]
 pub enum ClientError {
     #[display("cannot connect to {address}")]
     #[from(skip)]
     Unreachable { address: Box<str> },
-    #[display("the instance did not answer in time")]
+    #[display("request timed out")]
     #[from(skip)]
     Timeout,
     #[display("conflict: {message}; the current version is {current}")]
@@ -36,17 +35,17 @@
     #[display("refused: {message}")]
     #[from(skip)]
     Refused { message: Box<str> },
-    #[display("not changed: the platform's table does not answer; come back in {retry_millis} ms")]
+    #[display("not changed: the platform's table is unavailable; retry in {retry_millis} ms")]
     #[from(skip)]
     Unavailable { retry_millis: u32 },
-    #[display("unknown whether it took effect: {message}")]
+    #[display("unknown whether the change took effect: {message}")]
     #[from(skip)]
     Unknown { message: Box<str> },
-    #[display("the instance broke off: {_0}")]
+    #[display("RPC failed: {_0}")]
     Rpc(capnp::Error),
 }
 
-/// One member as an instance sees it.
+/// A member, in the view of the connected instance.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct MemberLine {
     pub instance: Box<str>,
@@ -58,7 +57,6 @@
     pub shards: u32,
 }
 
-/// One program in a list.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ProgramLine {
     pub program: Box<str>,
@@ -70,7 +68,6 @@
     pub owner: Box<str>,
 }
 
-/// How an instance stands.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct StatusLine {
     pub schema_version: u32,
@@ -80,13 +77,11 @@
     pub draining: bool,
 }
 
-/// A connection to one instance.
 pub struct OperatorClient {
     client: operator::Client,
 }
 
 impl OperatorClient {
-    /// Connects to an instance's RPC address.
     pub async fn connect(address: &str) -> Result<Self, ClientError> {
         let unreachable = || ClientError::Unreachable { address: address.into() };
         let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
@@ -97,7 +92,7 @@
     }
 
     pub async fn status(&self) -> Result<StatusLine, ClientError> {
-        let response = within(self.client.status_request().send().promise).await?;
+        let response = with_timeout(self.client.status_request().send().promise).await?;
         let status = response.get()?.get_status()?;
         Ok(StatusLine {
             schema_version: status.get_schema_version(),
@@ -108,7 +103,7 @@
         })
     }
 
-    /// Makes a change, if the object has still the version `expected`; 0 creates it.
+    /// Changes an object if its version is still `expected`; 0 creates it.
     pub async fn change(
         &self,
         body: &ChangeBody,
@@ -124,7 +119,7 @@
                 write_engine_group(change.init_engine_group(), spec, 0);
             }
         }
-        let response = within(call.send().promise).await?;
+        let response = with_timeout(call.send().promise).await?;
         let result = response.get()?.get_result()?;
         match result.which().map_err(capnp::Error::from)? {
             change_result::Accepted(version) => Ok(version),
@@ -146,19 +141,20 @@
     }
 
     pub async fn workspaces(&self) -> Result<Vec<VersionedWorkspace>, ClientError> {
-        let response = within(self.client.list_workspaces_request().send().promise).await?;
+        let response = with_timeout(self.client.list_workspaces_request().send().promise).await?;
         let list = response.get()?.get_workspaces()?;
         Ok(list.iter().map(read_workspace).collect::<Result<_, _>>()?)
     }
 
     pub async fn definitions(&self) -> Result<Vec<VersionedDefinition>, ClientError> {
-        let response = within(self.client.list_definitions_request().send().promise).await?;
+        let response = with_timeout(self.client.list_definitions_request().send().promise).await?;
         let list = response.get()?.get_definitions()?;
         Ok(list.iter().map(read_definition).collect::<Result<_, _>>()?)
     }
 
     pub async fn engine_groups(&self) -> Result<Vec<VersionedEngineGroup>, ClientError> {
-        let response = within(self.client.list_engine_groups_request().send().promise).await?;
+        let response =
+            with_timeout(self.client.list_engine_groups_request().send().promise).await?;
         let list = response.get()?.get_groups()?;
         Ok(list.iter().map(read_engine_group).collect::<Result<_, _>>()?)
     }
@@ -173,15 +169,15 @@
         call.get().set_workspace(workspace);
         call.get().set_definition(definition);
         call.get().set_start_key(start_key);
-        let response = within(call.send().promise).await?;
+        let response = with_timeout(call.send().promise).await?;
         let results = response.get()?;
-        refused(results.get_error()?)?;
+        check_error(results.get_error()?)?;
         Ok(text(results.get_id()?)?)
     }
 
-    /// The programs of the connected instance's shards.
+    /// Lists the programs of the connected instance's shards.
     pub async fn programs(&self) -> Result<Vec<ProgramLine>, ClientError> {
-        let response = within(self.client.list_programs_request().send().promise).await?;
+        let response = with_timeout(self.client.list_programs_request().send().promise).await?;
         let mut lines = Vec::new();
         for program in response.get()?.get_programs()?.iter() {
             lines.push(ProgramLine {
@@ -197,25 +193,25 @@
         Ok(lines)
     }
 
-    /// A program with its history, as JSON.
+    /// Returns a program with its history, as JSON.
     pub async fn show_program(&self, id: &str) -> Result<Box<str>, ClientError> {
         let mut call = self.client.show_program_request();
         call.get().set_id(id);
-        let response = within(call.send().promise).await?;
+        let response = with_timeout(call.send().promise).await?;
         let results = response.get()?;
-        refused(results.get_error()?)?;
+        check_error(results.get_error()?)?;
         Ok(text(results.get_history()?)?)
     }
 
     pub async fn end_program(&self, id: &str) -> Result<(), ClientError> {
         let mut call = self.client.end_program_request();
         call.get().set_id(id);
-        let response = within(call.send().promise).await?;
-        refused(response.get()?.get_error()?)
+        let response = with_timeout(call.send().promise).await?;
+        check_error(response.get()?.get_error()?)
     }
 
     pub async fn members(&self) -> Result<Vec<MemberLine>, ClientError> {
-        let response = within(self.client.members_request().send().promise).await?;
+        let response = with_timeout(self.client.members_request().send().promise).await?;
         let mut lines = Vec::new();
         for member in response.get()?.get_members()?.iter() {
             lines.push(MemberLine {
@@ -231,24 +227,26 @@
         Ok(lines)
     }
 
-    /// Recent events of the connected instance.
+    /// Lists recent events of the connected instance.
     pub async fn timeline(&self, after_micros: u64) -> Result<Vec<TimelineEvent>, ClientError> {
         let mut call = self.client.timeline_request();
         call.get().set_after_micros(after_micros);
-        let response = within(call.send().promise).await?;
+        let response = with_timeout(call.send().promise).await?;
         let events = response.get()?.get_events()?;
         Ok(events.iter().map(read_event).collect::<Result<_, _>>()?)
     }
 }
 
-async fn within<T>(call: impl Future<Output = Result<T, capnp::Error>>) -> Result<T, ClientError> {
+async fn with_timeout<T>(
+    call: impl Future<Output = Result<T, capnp::Error>>,
+) -> Result<T, ClientError> {
     match timeout(CALL_TIMEOUT, call).await {
         Ok(answer) => Ok(answer?),
         Err(_) => Err(ClientError::Timeout),
     }
 }
 
-fn refused(error: capnp::text::Reader<'_>) -> Result<(), ClientError> {
+fn check_error(error: capnp::text::Reader<'_>) -> Result<(), ClientError> {
     let message = text(error)?;
     if message.is_empty() { Ok(()) } else { Err(ClientError::Refused { message }) }
 }
--- a/src/node/operators/mod.rs
+++ b/src/node/operators/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' RPC interface, as schema/operator.capnp publishes it.
+//! The operators' RPC interface, published in schema/operator.capnp.
 
 mod client;
 mod server;
@@ -17,10 +17,9 @@
 pub use client::{ClientError, MemberLine, OperatorClient, ProgramLine, StatusLine};
 pub use wire::{VersionedDefinition, VersionedEngineGroup, VersionedWorkspace};
 
-/// Version of the published schema.
 pub const SCHEMA_VERSION: u32 = crate::operator_capnp::SCHEMA_VERSION;
 
-/// Serves operators until its task is dropped.
+/// Accepts operators' connections until its task is dropped.
 pub async fn serve_operators(node: Rc<Node>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
--- a/src/node/operators/server.rs
+++ b/src/node/operators/server.rs
@@ -1,4 +1,4 @@
-//! Answers operators.
+//! RPC server for operators' tools.
 
 use std::rc::Rc;
 
@@ -65,7 +65,7 @@
 
 fn refusal_text(refusal: &CallRefusal) -> String {
     match refusal.retry_after {
-        Some(wait) => format!("{refusal}; come back in {} ms", wait.as_millis()),
+        Some(wait) => format!("{refusal}; retry in {} ms", wait.as_millis()),
         None => refusal.to_string(),
     }
 }
@@ -170,14 +170,14 @@
         let programs = self.node.programs_here();
         let mut list = results.get().init_programs(programs.len() as u32);
         for (index, program) in (0..).zip(&programs) {
-            let mut line = list.reborrow().get(index);
-            line.set_id(&*program.program);
-            line.set_workspace(&*program.workspace);
-            line.set_definition(&*program.definition);
-            line.set_turns(program.turns.len() as u32);
-            line.set_tokens(program.tokens);
-            line.set_ended(program.ended.is_some());
-            line.set_owner(&*program.owner);
+            let mut entry = list.reborrow().get(index);
+            entry.set_id(&*program.program);
+            entry.set_workspace(&*program.workspace);
+            entry.set_definition(&*program.definition);
+            entry.set_turns(program.turns.len() as u32);
+            entry.set_tokens(program.tokens);
+            entry.set_ended(program.ended.is_some());
+            entry.set_owner(&*program.owner);
         }
         Ok(())
     }
@@ -229,14 +229,14 @@
         let members = self.node.member_list();
         let mut list = results.get().init_members(members.len() as u32);
         for (index, member) in (0..).zip(&members) {
-            let mut line = list.reborrow().get(index);
-            line.set_instance(&*member.instance);
-            line.set_incarnation(member.incarnation);
-            line.set_zone(&*member.zone);
-            line.set_state(member.state.to_string());
-            line.set_http_address(&*member.http_address);
-            line.set_rpc_address(&*member.rpc_address);
-            line.set_shards(self.node.shards_of(&member.instance));
+            let mut entry = list.reborrow().get(index);
+            entry.set_instance(&*member.instance);
+            entry.set_incarnation(member.incarnation);
+            entry.set_zone(&*member.zone);
+            entry.set_state(member.state.to_string());
+            entry.set_http_address(&*member.http_address);
+            entry.set_rpc_address(&*member.rpc_address);
+            entry.set_shards(self.node.shards_of(&member.instance));
         }
         Ok(())
     }
--- a/src/node/operators/wire.rs
+++ b/src/node/operators/wire.rs
@@ -1,4 +1,4 @@
-//! Conversions between the published schema and the core's types.
+//! Converts between the published schema and core types.
 
 use std::time::Duration;
 
@@ -11,12 +11,8 @@
     EngineRole as WireRole, WorkspaceClass, engine_group, event, program_definition, workspace,
 };
 
-/// A workspace and the change that last touched it.
 pub type VersionedWorkspace = Versioned<WorkspaceSpec>;
-/// A definition and the change that last touched it.
 pub type VersionedDefinition = Versioned<DefinitionSpec>;
-
-/// The wanted state of a model's engines and the change that last touched it.
 pub type VersionedEngineGroup = Versioned<EngineGroupSpec>;
 
 pub(super) fn text(reader: capnp::text::Reader<'_>) -> Result<Box<str>, capnp::Error> {
@@ -102,9 +98,9 @@
     builder.set_version(version);
     let mut list = builder.init_artifacts(spec.artifacts.len() as u32);
     for (index, artifact) in (0..).zip(&spec.artifacts) {
-        let mut line = list.reborrow().get(index);
-        line.set_name(&*artifact.name);
-        line.set_version(&*artifact.version);
+        let mut entry = list.reborrow().get(index);
+        entry.set_name(&*artifact.name);
+        entry.set_version(&*artifact.version);
     }
 }
 
