--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -1,4 +1,4 @@
-//! Engine memory: nothing stays held for programs that have ended.
+//! Release of engine memory after the end of programs.
 
 mod support;
 
@@ -17,16 +17,16 @@
 };
 use tokio::time::sleep;
 
-/// Two sweeps of 10 s: after the faults are over, nothing is held for ended programs.
-const BOUND: Duration = Duration::from_secs(20);
-/// A takeover and the confirmed end of a program go before it where an instance died.
-const TAKEOVER: Duration = Duration::from_secs(10);
+/// Two sweep intervals; after the faults are over, all memory must be released within them.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Additional time for a takeover and the end of programs after an instance has died.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn holds(engine: &StandinEngine, program: ProgramId) -> bool {
     engine.held().iter().any(|held| held.program == program)
 }
 
-fn nothing_held(cluster: &TestCluster) -> bool {
+fn no_memory_is_held(cluster: &TestCluster) -> bool {
     cluster.engines.iter().all(|engine| engine.held().is_empty())
 }
 
@@ -36,7 +36,6 @@
     }
 }
 
-/// Starts programs at instance 0 and runs one call of each.
 async fn run_programs(cluster: &Rc<TestCluster>, count: usize) -> Vec<ProgramId> {
     let (mut programs, mut calls) = (Vec::new(), Vec::new());
     for _ in 0..count {
@@ -49,71 +48,73 @@
     for call in calls {
         answer_text(&outcome(call).await);
     }
-    assert!(!nothing_held(cluster));
+    assert!(!no_memory_is_held(cluster));
     programs
 }
 
-/// Nobody waits for it, but memory is what limits the peak. One engine accepts connections and
-/// answers nothing while 40 programs end; the others must be asked all the same.
+/// Guards against one engine that accepts connections but never answers blocking the release of
+/// memory on all others.
 #[test]
-fn a_silent_engine_delays_no_other() {
+fn unresponsive_engine_does_not_delay_release_on_others() {
     run_paused(async {
         let cluster = TestCluster::start(2).await;
         cluster.workspace("w", ServiceClass::Paying, 1_000_000).await;
         let mut programs = run_programs(&cluster, 20).await;
         let used = cluster.engines.iter().position(|engine| !engine.held().is_empty());
-        let used = used.expect("one was used");
+        let used = used.expect("no engine was used");
         cluster.platform.update_roster(&format!("e{used}"), |entry| entry.leaving = true);
         sleep(Duration::from_secs(2)).await;
         programs.extend(run_programs(&cluster, 20).await);
-        let silent = &cluster.engines[used];
-        silent.faults.set(silence());
+        let unresponsive = &cluster.engines[used];
+        unresponsive.faults.set(silence());
         for program in &programs {
             cluster.node(0).end_program(*program).await.expect("it ends");
         }
         sleep(Duration::from_secs(3)).await;
         let held = |engine: &&Rc<StandinEngine>| !engine.held().is_empty();
-        assert_eq!(cluster.engines.iter().filter(held).count(), 1, "held 3 s after the end");
-        silent.faults.set(FaultSettings::default());
-        sleep(BOUND).await;
-        assert!(nothing_held(&cluster), "{:?}", silent.held());
+        assert_eq!(
+            cluster.engines.iter().filter(held).count(),
+            1,
+            "engines holding memory 3 s after the end"
+        );
+        unresponsive.faults.set(FaultSettings::default());
+        sleep(RELEASE_TIMEOUT).await;
+        assert!(no_memory_is_held(&cluster), "{:?}", unresponsive.held());
     });
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Disturbance {
+enum Failure {
     EngineOutage,
     LostReplies,
     EngineRestart,
     StoreOutage,
-    OwnerCutOff,
+    OwnerPartitioned,
     OwnerKilled,
-    EnginesOwnerKilled,
+    EngineOwnerKilled,
 }
 
-/// The callers have their last answers. As their programs end, something they need is away: an
-/// engine, its replies, the store, the programs' owner or the instance that sweeps the engines.
+/// Guards against leaked memory if an engine, its replies, the store, the programs' owner or the
+/// engines' owner fails while programs end.
 #[rstest]
-#[case::engine_outage(Disturbance::EngineOutage)]
-#[case::lost_replies(Disturbance::LostReplies)]
-#[case::engine_restart(Disturbance::EngineRestart)]
-#[case::store_outage(Disturbance::StoreOutage)]
-#[case::owner_cut_off(Disturbance::OwnerCutOff)]
-#[case::owner_killed(Disturbance::OwnerKilled)]
-#[case::engines_owner_killed(Disturbance::EnginesOwnerKilled)]
-fn disturbed_ends_release_everything(#[case] disturbance: Disturbance) {
+#[case::engine_outage(Failure::EngineOutage)]
+#[case::lost_replies(Failure::LostReplies)]
+#[case::engine_restart(Failure::EngineRestart)]
+#[case::store_outage(Failure::StoreOutage)]
+#[case::owner_partitioned(Failure::OwnerPartitioned)]
+#[case::owner_killed(Failure::OwnerKilled)]
+#[case::engine_owner_killed(Failure::EngineOwnerKilled)]
+fn memory_is_released_after_a_failure_during_program_end(#[case] failure: Failure) {
     run_paused(async move {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 1_000_000).await;
         let programs = run_programs(&cluster, 12).await;
         let owner = cluster.node(0);
-        match disturbance {
-            Disturbance::EngineOutage => set_faults(&cluster, outage()),
-            Disturbance::LostReplies => set_faults(&cluster, lose_replies(20)),
-            Disturbance::EngineRestart => {
-                cluster.engines.iter().for_each(|engine| engine.restart())
-            }
-            Disturbance::StoreOutage => cluster.platform.faults.set(outage()),
+        match failure {
+            Failure::EngineOutage => set_faults(&cluster, outage()),
+            Failure::LostReplies => set_faults(&cluster, lose_replies(20)),
+            Failure::EngineRestart => cluster.engines.iter().for_each(|engine| engine.restart()),
+            Failure::StoreOutage => cluster.platform.faults.set(outage()),
             _ => {}
         }
         for program in &programs {
@@ -121,31 +122,31 @@
             actix_rt::spawn(async move { owner.end_program(program).await });
         }
         sleep(Duration::from_millis(20)).await;
-        match disturbance {
-            Disturbance::OwnerCutOff => cluster.set_cut(0, true),
-            Disturbance::OwnerKilled => cluster.kill(0),
-            Disturbance::EnginesOwnerKilled => cluster.kill(1),
+        match failure {
+            Failure::OwnerPartitioned => cluster.set_cut(0, true),
+            Failure::OwnerKilled => cluster.kill(0),
+            Failure::EngineOwnerKilled => cluster.kill(1),
             _ => {}
         }
         sleep(Duration::from_secs(15)).await;
         set_faults(&cluster, FaultSettings::default());
         cluster.platform.faults.set(FaultSettings::default());
-        if matches!(disturbance, Disturbance::OwnerCutOff) {
+        if matches!(failure, Failure::OwnerPartitioned) {
             cluster.set_cut(0, false);
         }
-        sleep(TAKEOVER).await;
+        sleep(TAKEOVER_TIMEOUT).await;
         for program in &programs {
             cluster.node(2).end_program(*program).await.expect("it ends");
         }
-        sleep(BOUND).await;
-        assert!(nothing_held(&cluster), "something is held");
+        sleep(RELEASE_TIMEOUT).await;
+        assert!(no_memory_is_held(&cluster), "engine memory is still held");
     });
 }
 
-/// The caller sees "unknown" and ends its program. The owner died during the first call, so no
-/// record names the engine that computes it; only the sweep can find that memory.
+/// Guards against leaked memory if the owner dies during the first call: no record names the
+/// engine, so only the sweep can find it.
 #[test]
-fn memory_of_an_unrecorded_call_is_swept() {
+fn memory_of_an_unjournaled_call_is_swept() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 1_000_000).await;
@@ -154,18 +155,18 @@
         sleep(Duration::from_millis(50)).await;
         cluster.kill(0);
         cluster.settled().await;
-        sleep(TAKEOVER).await;
+        sleep(TAKEOVER_TIMEOUT).await;
         assert!(cluster.engines.iter().any(|engine| holds(engine, program)));
         cluster.node(1).end_program(program).await.expect("it ends");
-        sleep(BOUND).await;
-        assert!(nothing_held(&cluster));
+        sleep(RELEASE_TIMEOUT).await;
+        assert!(no_memory_is_held(&cluster));
     });
 }
 
-/// Nobody sees it. A request that was given up reaches its engine after the program's end and
-/// after the release was confirmed, and the engine computes and holds it once more.
+/// Guards against leaked memory if an abandoned request reaches its engine after the release of
+/// its program was confirmed.
 #[test]
-fn a_release_that_overtook_a_call_is_repeated() {
+fn memory_of_a_request_delivered_after_release_is_released() {
     run_paused(async {
         let cluster = TestCluster::start(2).await;
         cluster.workspace("w", ServiceClass::Paying, 1_000_000).await;
@@ -185,17 +186,17 @@
         };
         let _stream = cluster.engines[1].generate(&late).await.expect("it runs");
         wait_until(|| holds(&cluster.engines[1], program)).await;
-        sleep(BOUND).await;
+        sleep(RELEASE_TIMEOUT).await;
         assert!(!holds(&cluster.engines[1], program));
     });
 }
 
-/// The households hear nothing more. A program ends while its sub-agent waits for a tool, and
-/// another is left alone for longer than its definition allows: both subtrees give up memory.
+/// Guards against leaked memory of the children of an ended program and of programs idle for
+/// longer than their definition allows.
 #[rstest]
 #[case::parent_ended(true)]
 #[case::idle(false)]
-fn children_and_idle_programs_release(#[case] ask_end: bool) {
+fn memory_of_orphaned_and_idle_programs_is_released(#[case] parent_ends: bool) {
     run_paused(async move {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 1_000_000).await;
@@ -213,13 +214,13 @@
             answer_text(&outcome(call).await);
             family.push(child);
         }
-        if ask_end {
+        if parent_ends {
             cluster.node(1).end_program(parent).await.expect("it ends");
         } else {
             sleep(Duration::from_secs(600)).await;
         }
-        sleep(BOUND).await;
-        let any_held = |program| cluster.engines.iter().any(|engine| holds(engine, program));
-        assert!(!family.into_iter().any(any_held));
+        sleep(RELEASE_TIMEOUT).await;
+        let holds_any = |program| cluster.engines.iter().any(|engine| holds(engine, program));
+        assert!(!family.into_iter().any(holds_any));
     });
 }
