--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Configuration: races of operators, cuts, lost replies, and how soon a change is in force.
+//! Configuration changes under concurrency, partitions, lost replies and restarts.
 
 mod support;
 
@@ -19,9 +19,9 @@
 };
 use tokio::time::{Instant, sleep};
 
-/// An accepted change is in force everywhere within this time.
-const BOUND: Duration = Duration::from_secs(3);
-/// Of three instances the one that reads the head in the table, and one that asks it.
+/// Time within which an accepted change must be in force at every instance.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(3);
+/// Of three instances, the one that polls the table's head and one that polls that instance.
 const READER: usize = 2;
 const FOLLOWER: usize = 1;
 
@@ -29,12 +29,12 @@
     cluster.node(index).change_config(body, expected).await.expect("accepted")
 }
 
-/// A running cluster reads the table for the head alone when nothing happens. The figures of
-/// docs/decisions/configuration.md are this test's output with `--nocapture`.
+/// Guards against a change that never reaches some instance. With `--nocapture` it prints the read
+/// rate and propagation delay for docs/decisions/configuration.md.
 #[rstest]
 #[case::three(3)]
 #[case::nine(9)]
-fn changes_spread_with_few_reads(#[case] count: usize) {
+fn changes_reach_all_instances(#[case] count: usize) {
     run_paused(async move {
         let cluster = TestCluster::start(count).await;
         sleep(Duration::from_secs(5)).await;
@@ -55,40 +55,40 @@
     });
 }
 
-/// Gives every operation of the platform some time, so that those of different instances mix.
-fn slow_down(cluster: &TestCluster) {
+/// Delays every operation of the platform, so that those of different instances interleave.
+fn add_latency(cluster: &TestCluster) {
     cluster.platform.faults.set(FaultSettings { delay_ms: 5, ..FaultSettings::default() });
 }
 
-/// Two operators change one workspace at two instances at once, both from the version they read.
-/// One must win; the other is told which version stands, and nothing of his change stays.
+/// Guards against lost updates: of two changes from the same version, one must be accepted and the
+/// other must fail with the accepted version.
 #[test]
-fn one_of_two_racing_changes_wins() {
+fn one_of_two_concurrent_changes_to_an_object_is_accepted() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         let first = change(&cluster, 0, workspace("w", 1), 0).await;
-        slow_down(&cluster);
+        add_latency(&cluster);
         let (a, b) = (cluster.node(1), cluster.node(2));
-        let racing = (
+        let changes = (
             a.change_config(workspace("w", 10), first),
             b.change_config(workspace("w", 20), first),
         );
-        let results = futures_util::future::join(racing.0, racing.1).await;
-        let (won, lost) = match results {
-            (Ok(won), Err(lost)) | (Err(lost), Ok(won)) => (won, lost),
-            other => panic!("one winner was expected: {other:?}"),
+        let results = futures_util::future::join(changes.0, changes.1).await;
+        let (accepted, rejected) = match results {
+            (Ok(accepted), Err(rejected)) | (Err(rejected), Ok(accepted)) => (accepted, rejected),
+            other => panic!("expected exactly one accepted change: {other:?}"),
         };
-        let ChangeError::Conflict { current, .. } = lost else { panic!("{lost:?}") };
-        assert_eq!(current, won);
+        let ChangeError::Conflict { current, .. } = rejected else { panic!("{rejected:?}") };
+        assert_eq!(current, accepted);
     });
 }
 
-/// Many operators change different objects at all instances at once: none has to give way.
+/// Guards against conflicts between changes of different objects.
 #[test]
-fn changes_of_different_objects_all_succeed() {
+fn concurrent_changes_to_different_objects_are_accepted() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
-        slow_down(&cluster);
+        add_latency(&cluster);
         let nodes: Vec<Rc<Node>> = (0..3).map(|index| cluster.node(index)).collect();
         let changes = (0..12).map(|index| {
             let node = nodes[index % 3].clone();
@@ -101,9 +101,9 @@
     });
 }
 
-/// What keeps an instance from hearing of a change.
+/// Links by which an instance learns of changes, failing with errors or silently.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Cut {
+enum Partition {
     Table,
     Peers,
     Both,
@@ -112,14 +112,14 @@
     SilentBoth,
 }
 
-fn set_cut(cluster: &TestCluster, victim: usize, cut: Option<Cut>) {
-    use Cut::*;
-    let table = match cut {
+fn set_partition(cluster: &TestCluster, victim: usize, partition: Option<Partition>) {
+    use Partition::*;
+    let table = match partition {
         Some(Table | Both) => outage(),
         Some(SilentTable | SilentBoth) => silence(),
         _ => FaultSettings::default(),
     };
-    let link = match cut {
+    let link = match partition {
         Some(Peers | Both) => Some(LinkFault::Cut),
         Some(SilentPeers | SilentBoth) => Some(LinkFault::Silent),
         _ => None,
@@ -138,25 +138,24 @@
     StartRequest { workspace: "w".into(), definition: "d".into(), start_key: None, parent: None }
 }
 
-/// Whether the instance takes new work of `w` under a configuration older than `version`.
+/// Returns true if the instance accepts new work of `w` under a configuration older than `version`.
 fn serves_stale(node: &Node, version: u64) -> bool {
     node.config_version() < version && node.check_start(&start_request()).is_ok()
 }
 
-/// A workspace is retired while one instance cannot hear of it. Its callers must not be served
-/// under the old configuration for longer than the bound: it has the change in force by then, by
-/// whichever way is left, or refuses with a time to come back. It is at work again once healed.
+/// Guards against a partitioned instance serving under an old configuration past the timeout. It
+/// must apply the change over a remaining link, or refuse work with a retry time until healed.
 #[rstest]
-fn a_cut_instance_never_serves_a_stale_configuration(
+fn partitioned_instance_does_not_serve_a_stale_configuration(
     #[values(
-        Cut::Table,
-        Cut::Peers,
-        Cut::Both,
-        Cut::SilentTable,
-        Cut::SilentPeers,
-        Cut::SilentBoth
+        Partition::Table,
+        Partition::Peers,
+        Partition::Both,
+        Partition::SilentTable,
+        Partition::SilentPeers,
+        Partition::SilentBoth
     )]
-    cut: Cut,
+    partition: Partition,
     #[values(FOLLOWER, READER)] victim: usize,
 ) {
     run_paused(async move {
@@ -165,22 +164,22 @@
         let node = cluster.node(victim);
         let mut version = 1;
         for round in 0..4 {
-            set_cut(&cluster, victim, Some(cut));
+            set_partition(&cluster, victim, Some(partition));
             sleep(Duration::from_millis(300 * round)).await;
             version = change(&cluster, 0, workspace("w", 5 + round as u16), version).await;
-            sleep(BOUND).await;
+            sleep(PROPAGATION_TIMEOUT).await;
             for _ in 0..100 {
                 assert!(!serves_stale(&node, version), "round {round}");
                 sleep(Duration::from_millis(20)).await;
             }
-            let heard = !matches!(cut, Cut::Both | Cut::SilentBoth);
-            assert_eq!(node.config_version() == version, heard);
-            if !heard {
+            let reachable = !matches!(partition, Partition::Both | Partition::SilentBoth);
+            assert_eq!(node.config_version() == version, reachable);
+            if !reachable {
                 let refusal = node.check_start(&start_request()).expect_err("stale");
                 assert_eq!(refusal.reason, RefusalReason::ConfigStale);
                 assert!(refusal.retry_after.is_some());
             }
-            set_cut(&cluster, victim, None);
+            set_partition(&cluster, victim, None);
             wait_until(|| {
                 node.config_version() == version && node.check_start(&start_request()).is_ok()
             })
@@ -189,11 +188,10 @@
     });
 }
 
-/// An instance cut from the table hears the head from members only, over links so slow that each
-/// answer is a fifth of a second old when it arrives, and the change itself does not arrive. If the
-/// age counted from the answer's arrival, it would serve the old configuration past the bound.
+/// Guards against counting a configuration's age from the arrival of a peer's answer: over slow
+/// links an instance without the table would serve a stale configuration past the timeout.
 #[test]
-fn a_late_answer_proves_nothing_about_its_arrival() {
+fn age_of_a_delayed_answer_counts_from_its_request() {
     let victim = FOLLOWER;
     run_paused(async {
         let cluster = TestCluster::start(3).await;
@@ -205,27 +203,27 @@
             set_links(&cluster, victim, Some(LinkFault::Late(Duration::from_millis(220))));
             sleep(Duration::from_millis(4000 + 37 * round)).await;
             version = change(&cluster, 0, workspace("w", 5 + round as u16), version).await;
-            sleep(BOUND).await;
+            sleep(PROPAGATION_TIMEOUT).await;
             for _ in 0..50 {
                 assert!(!serves_stale(&node, version), "round {round}");
                 sleep(Duration::from_millis(20)).await;
             }
-            set_cut(&cluster, victim, None);
+            set_partition(&cluster, victim, None);
             wait_until(|| node.config_version() == version).await;
         }
     });
 }
 
-/// The table goes down right after a change was accepted, before anyone else has read it. The
-/// operator was told that it stands, so the others must hear of it from the instance that made it.
+/// Guards against an accepted change that others miss because the table fails right after it; they
+/// must receive it from the instance that made it.
 #[test]
-fn an_outage_after_an_accepted_change_does_not_hide_it() {
+fn accepted_change_propagates_during_a_table_outage() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         sleep(Duration::from_secs(2)).await;
         let version = change(&cluster, 1, workspace("w", 1), 0).await;
         cluster.platform.faults.set(outage());
-        sleep(BOUND).await;
+        sleep(PROPAGATION_TIMEOUT).await;
         for node in cluster.nodes.borrow().values() {
             assert_eq!(node.config_version(), version);
         }
@@ -236,10 +234,10 @@
     });
 }
 
-/// The reply of one operation is lost at every possible moment of a change, the commit among them.
-/// The operator is told the truth each time: accepted means it stands, unavailable means it does not.
+/// Guards against a wrong result if the reply to any operation of a change is lost: accepted must
+/// mean that the change is stored, unavailable that it is not.
 #[test]
-fn a_lost_reply_never_makes_an_operator_told_wrong() {
+fn change_result_is_correct_if_a_reply_is_lost() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         let node = cluster.node(1);
@@ -253,22 +251,21 @@
             sleep(Duration::from_millis(10 * step)).await;
             gate.set(FaultSettings { delay_ms: 50, ..lose_replies(1) });
             let result = change.await.expect("the change ends");
-            let stands = cluster.platform.peek(&format!("config/object/workspace/{id}")).is_some();
+            let stored = cluster.platform.peek(&format!("config/object/workspace/{id}")).is_some();
             match result {
-                Ok(_) => assert!(stands),
-                Err(ChangeError::Unavailable { .. }) => assert!(!stands),
+                Ok(_) => assert!(stored),
+                Err(ChangeError::Unavailable { .. }) => assert!(!stored),
                 Err(other) => panic!("{other:?}"),
             }
-            accepted += usize::from(stands);
+            accepted += usize::from(stored);
         }
-        assert!(accepted >= 5, "some change was made whose reply was lost: {accepted}");
+        assert!(accepted >= 5, "too few changes accepted with a lost reply: {accepted}");
     });
 }
 
-/// An instance dies, the configuration moves on, and the instance comes back. It starts from the
-/// table and not from anything it knew, so its first answers show the newest configuration.
+/// Guards against a restarted instance serving with a configuration from before its restart.
 #[test]
-fn a_restarted_instance_starts_from_the_newest_configuration() {
+fn restarted_instance_starts_with_the_latest_configuration() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 100_000).await;
@@ -282,10 +279,10 @@
     });
 }
 
-/// A workspace is retired while its program lives: new calls and starts are refused for good at
-/// every instance, and the program is ended. A budget cannot fall below what is drawn of it.
+/// Guards against work of a retired workspace being accepted, or refused with a retry time, and
+/// against a budget below the tokens already drawn.
 #[test]
-fn a_retired_workspace_gets_no_new_work_anywhere() {
+fn retired_workspace_is_refused_at_every_instance() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 100_000).await;
@@ -297,7 +294,7 @@
         assert!(message.contains("drawn already"), "{message}");
         let retired = WorkspaceSpec { retired: true, ..spec("w") };
         change(&cluster, 1, ChangeBody::Workspace(retired), 1).await;
-        sleep(BOUND).await;
+        sleep(PROPAGATION_TIMEOUT).await;
         for index in 0..3 {
             let refused = cluster.node(index).start_program(start_request()).await;
             let unknown = CallRefusal::permanent(RefusalReason::UnknownWorkspace);
@@ -316,10 +313,10 @@
     }
 }
 
-/// A call waits for a slot while its workspace is retired. The change has long been in force when
-/// a slot comes free, so the call must not go out under the old configuration: it is not run.
+/// Guards against a queued call being dispatched under the configuration of its arrival after a
+/// newer one has retired its workspace.
 #[test]
-fn a_call_in_the_queue_is_not_dispatched_after_a_retirement() {
+fn queued_call_is_not_dispatched_after_its_workspace_is_retired() {
     run_paused(async {
         let cluster = TestCluster::start(3).await;
         cluster.workspace("w", ServiceClass::Paying, 1_000_000).await;
