--- a/src/node/audit.rs
+++ b/src/node/audit.rs
@@ -51,8 +51,6 @@
         });
     }
 
-    /// Closes accounts of ended incarnations that own no shard.
-    ///
     /// No takeover covers an instance that dies after it has handed over its shards but before it
     /// has returned its grants. All accounts are scanned once, when this instance becomes the
     /// auditor; later only departed members are checked.
--- a/src/node/engines/mod.rs
+++ b/src/node/engines/mod.rs
@@ -122,7 +122,6 @@
         }
     }
 
-    /// Releases all slots of a dead instance.
     pub(crate) fn drop_holder(&self, holder: &str) {
         self.slot_scheduler.borrow_mut().drop_holder(holder);
     }
--- a/src/node/engines/scheduler.rs
+++ b/src/node/engines/scheduler.rs
@@ -97,7 +97,6 @@
         }
     }
 
-    /// Returns the mean load of the local engines, for other instances.
     pub(super) fn load(&self, now: Instant) -> MemberLoad {
         let mean = EngineLoad::mean(self.slots.values().map(|slots| slots.load(now)));
         let all: usize = self.slots.values().map(EngineSlots::capacity).sum();
@@ -112,7 +111,6 @@
         }
     }
 
-    /// Returns the trial calls' slots to revoke for paying calls past `PREEMPTION_DELAY`.
     pub(super) fn preempt(&mut self, now: Instant) -> Vec<SlotRevocation> {
         let mut revocations = Vec::new();
         for slots in self.slots.values_mut() {
--- a/src/node/grants.rs
+++ b/src/node/grants.rs
@@ -13,7 +13,6 @@
 
 pub(super) struct GrantPlan {
     draws: Vec<DrawRequest>,
-    /// Budget rows as the commit leaves them.
     rows: BTreeMap<WorkspaceId, BudgetRow>,
     account: AccountRow,
     /// Configuration head, read together with the budget rows.
@@ -43,7 +42,6 @@
         });
     }
 
-    /// Adds draws and returns to the transaction.
     pub(super) async fn plan_grants(
         &self,
         mut transaction: TableTransaction,
@@ -72,7 +70,6 @@
         (transaction, GrantPlan { draws, rows, account, head, needed })
     }
 
-    /// Retries until the table answers.
     async fn read_budgets(&self, workspaces: &[WorkspaceId]) -> BudgetRows {
         if workspaces.is_empty() {
             return BudgetRows::default();
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -35,7 +35,7 @@
 #[derive(Default)]
 struct GroupOrders {
     lease: OrderLease,
-    /// When a write of the lease row by this instance, committed since, was sent last.
+    /// Send time of the last committed write of the lease row.
     renewed: Option<Instant>,
     /// When all engines were last in the desired state, and the configuration version of it.
     converged: Option<(Instant, u64)>,
@@ -107,7 +107,6 @@
         owners.get(model) == Some(&self.settings.instance)
     }
 
-    /// Claims, renews or releases a lease, as far as its row allows.
     async fn update_lease(
         &self,
         group: &mut GroupOrders,
--- a/src/node/release.rs
+++ b/src/node/release.rs
@@ -54,10 +54,8 @@
         self.shards.borrow().phase(shard) == Some(ShardPhase::Serving)
     }
 
-    /// Repeats the release of every ended program until its engines confirm it.
-    ///
-    /// Engines are handled concurrently, and one that does not answer is skipped until the next
-    /// round, so that it does not delay the release of memory on the others.
+    /// Repeats each release until the engine confirms it. Engines are handled concurrently, and one
+    /// that does not answer is skipped until the next round, so that it does not delay the others.
     async fn release_ended(&self) {
         let mut pending: BTreeMap<UpstreamId, Vec<PendingRelease>> = BTreeMap::new();
         for program in self.book.borrow().iter() {
