--- a/src/node/engines/mod.rs
+++ b/src/node/engines/mod.rs
@@ -39,7 +39,7 @@
 
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SlotNeed {
-    /// Upper bound for the whole call.
+    /// Worst-case tokens of the call.
     pub(crate) tokens: Tokens,
     /// Part of `tokens` that is not in a shared prefix.
     pub(crate) own_tokens: Tokens,
