--- a/src/node/calls/model.rs
+++ b/src/node/calls/model.rs
@@ -153,7 +153,7 @@
             let engine = permit.engine().clone();
             match self.attempt(&permit, &reservation).await {
                 AttemptEnd::Done(usage) => {
-                    self.node.readmit(&engine);
+                    self.node.readmit_upstream(&engine);
                     self.node.settle(reservation, usage.billed());
                     return self.answered(engine, usage);
                 }
@@ -170,7 +170,7 @@
                 }
                 AttemptEnd::Failed(error) => {
                     if error.is_refusal() {
-                        self.node.put_aside(&engine);
+                        self.node.eject_upstream(&engine);
                     }
                     self.settle_failed(reservation, &permit, &error);
                     self.node
--- a/src/node/calls/service.rs
+++ b/src/node/calls/service.rs
@@ -137,8 +137,8 @@
             Err(UpstreamError::Lost { message: "the service did not answer in time".into() })
         });
         match &reply {
-            Ok(_) => self.readmit(&target.id),
-            Err(error) if error.is_refusal() => self.put_aside(&target.id),
+            Ok(_) => self.readmit_upstream(&target.id),
+            Err(error) if error.is_refusal() => self.eject_upstream(&target.id),
             Err(_) => {}
         }
         reply
--- a/src/node/roster.rs
+++ b/src/node/roster.rs
@@ -1,4 +1,4 @@
-//! The platform's list, refreshed every second, and what was learnt about upstreams since.
+//! Roster of upstreams and instances: polls the platform's list and ejects failing upstreams.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -9,28 +9,25 @@
 use super::instance::Node;
 use super::platform::{RosterEntry, RosterRole};
 
-const REFRESH: Duration = Duration::from_secs(1);
-const FIRST_ASIDE: Duration = Duration::from_secs(1);
-const MAX_ASIDE: Duration = Duration::from_secs(30);
+const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
+const MIN_EJECTION: Duration = Duration::from_secs(1);
+const MAX_EJECTION: Duration = Duration::from_secs(30);
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// An upstream that refused work or could not be reached.
 #[derive(Debug, Clone, Copy)]
-struct AsideEntry {
-    /// When it is looked at again.
-    until: Instant,
+struct EjectionState {
+    next_probe: Instant,
     backoff: Duration,
-    /// Whether it may be tried again; another refusal puts it aside for longer.
-    open: bool,
+    /// The next call is a trial: success readmits the upstream, a refusal ejects it for longer.
+    half_open: bool,
 }
 
-/// The roster as last read, and the upstreams put aside since.
 #[derive(Debug, Default)]
 pub(crate) struct RosterView {
     entries: BTreeMap<Box<str>, RosterEntry>,
-    aside: BTreeMap<Box<str>, AsideEntry>,
-    /// When an engine was last missing that had been listed before.
-    engine_lost: Option<Instant>,
+    ejected: BTreeMap<Box<str>, EjectionState>,
+    /// Time of the last refresh that no longer listed a known engine.
+    engine_removed: Option<Instant>,
 }
 
 impl RosterView {
@@ -38,7 +35,6 @@
         self.entries.get(id)
     }
 
-    /// Entries of a role and group that may get new work.
     pub(crate) fn serving(&self, role: RosterRole, group: &str) -> Vec<RosterEntry> {
         let fits = |entry: &&RosterEntry| {
             entry.role == role && &*entry.group == group && self.is_serving(&entry.id)
@@ -46,57 +42,59 @@
         self.entries.values().filter(fits).cloned().collect()
     }
 
-    /// Whether an upstream may get new work.
     pub(crate) fn is_serving(&self, id: &str) -> bool {
         let listed = self.entries.get(id).is_some_and(|entry| !entry.leaving);
-        listed && self.aside.get(id).is_none_or(|aside| aside.open)
+        listed && self.ejected.get(id).is_none_or(|ejected| ejected.half_open)
     }
 
-    /// Keeps new work from an upstream for a while, each time for longer.
+    /// Ejects an upstream with exponential backoff.
     ///
-    /// The platform's list lags: an upstream that leaves or has died shows it by refusals first.
-    /// Without this every call would try it anew, the more so as it seems to have room.
-    fn put_aside(&mut self, id: &str, now: Instant) {
-        let last = self.aside.get(id).copied();
-        if last.is_some_and(|last| !last.open) {
+    /// The platform's list lags behind: refusals show first that an upstream leaves or has died.
+    /// A dead upstream appears idle and would otherwise attract every call.
+    fn eject(&mut self, id: &str, now: Instant) {
+        let last = self.ejected.get(id).copied();
+        if last.is_some_and(|last| !last.half_open) {
             return;
         }
-        let backoff = last.map_or(FIRST_ASIDE, |last| (last.backoff * 2).min(MAX_ASIDE));
-        self.aside.insert(id.into(), AsideEntry { until: now + backoff, backoff, open: false });
+        let backoff = last.map_or(MIN_EJECTION, |last| (last.backoff * 2).min(MAX_EJECTION));
+        self.ejected.insert(
+            id.into(),
+            EjectionState { next_probe: now + backoff, backoff, half_open: false },
+        );
     }
 
     fn readmit(&mut self, id: &str) {
-        self.aside.remove(id);
+        self.ejected.remove(id);
     }
 
-    /// Upstreams put aside whose time is over.
-    fn due(&self, now: Instant) -> Vec<RosterEntry> {
-        let due = self.aside.iter().filter(|(_, aside)| !aside.open && aside.until <= now);
+    fn due_for_probe(&self, now: Instant) -> Vec<RosterEntry> {
+        let due = self
+            .ejected
+            .iter()
+            .filter(|(_, ejected)| !ejected.half_open && ejected.next_probe <= now);
         due.filter_map(|(id, _)| self.entries.get(id).cloned()).collect()
     }
 
-    /// Takes in the answer of an upstream that was looked at again.
-    fn probed(&mut self, id: &str, answers: bool, now: Instant) {
-        let Some(aside) = self.aside.get_mut(id) else { return };
-        aside.open = answers;
+    fn record_probe(&mut self, id: &str, answers: bool, now: Instant) {
+        let Some(ejected) = self.ejected.get_mut(id) else { return };
+        ejected.half_open = answers;
         if !answers {
-            aside.backoff = (aside.backoff * 2).min(MAX_ASIDE);
-            aside.until = now + aside.backoff;
+            ejected.backoff = (ejected.backoff * 2).min(MAX_EJECTION);
+            ejected.next_probe = now + ejected.backoff;
         }
     }
 
-    /// Whether an engine has gone from the list within the last `window`.
     pub(crate) fn lost_engine_within(&self, window: Duration) -> bool {
-        self.engine_lost.is_some_and(|lost| lost.elapsed() < window)
+        self.engine_removed.is_some_and(|lost| lost.elapsed() < window)
     }
 
     fn replace(&mut self, entries: BTreeMap<Box<str>, RosterEntry>) {
         let gone = |entry: &RosterEntry| !entries.contains_key(&entry.id);
         let engine = |entry: &RosterEntry| entry.role == RosterRole::Engine;
         if self.entries.values().any(|entry| engine(entry) && gone(entry)) {
-            self.engine_lost = Some(Instant::now());
+            self.engine_removed = Some(Instant::now());
         }
-        self.aside.retain(|id, _| entries.contains_key(id));
+        self.ejected.retain(|id, _| entries.contains_key(id));
         self.entries = entries;
     }
 
@@ -110,14 +108,14 @@
     pub(crate) fn spawn_roster(self: Rc<Self>) {
         actix_rt::spawn(async move {
             while !self.is_stopped() {
-                sleep(REFRESH).await;
+                sleep(REFRESH_INTERVAL).await;
                 self.refresh_roster().await;
-                self.probe_aside().await;
+                self.probe_ejected().await;
             }
         });
     }
 
-    /// Reads the list; if the platform does not answer, the last one stays in use.
+    /// Refreshes the roster; the last one stays in use while the platform is unavailable.
     pub(crate) async fn refresh_roster(&self) {
         let Ok(entries) = self.roster_source.list().await else { return };
         let entries: BTreeMap<_, _> =
@@ -129,23 +127,22 @@
         }
     }
 
-    /// Notes that an upstream refused a call or could not be reached.
-    pub(crate) fn put_aside(&self, upstream: &str) {
+    /// Ejects an upstream that refused a call or could not be reached.
+    pub(crate) fn eject_upstream(&self, upstream: &str) {
         if self.roster.borrow().is_serving(upstream) {
             self.event("upstream_put_aside").upstream(upstream).log();
         }
-        self.roster.borrow_mut().put_aside(upstream, Instant::now());
+        self.roster.borrow_mut().eject(upstream, Instant::now());
     }
 
-    /// Notes that an upstream has answered a call.
-    pub(crate) fn readmit(&self, upstream: &str) {
+    pub(crate) fn readmit_upstream(&self, upstream: &str) {
         self.roster.borrow_mut().readmit(upstream);
     }
 
-    /// Looks again at upstreams that were put aside: engines are asked what they hold, services,
-    /// which have no such question, get the next call.
-    async fn probe_aside(&self) {
-        let due = self.roster.borrow().due(Instant::now());
+    /// Probes ejected upstreams that are due. Services have no probe request: they become half open,
+    /// and the next call decides.
+    async fn probe_ejected(&self) {
+        let due = self.roster.borrow().due_for_probe(Instant::now());
         for entry in due {
             let answers = match entry.role {
                 RosterRole::Engine => {
@@ -154,7 +151,7 @@
                 }
                 RosterRole::Service | RosterRole::Instance => true,
             };
-            self.roster.borrow_mut().probed(&entry.id, answers, Instant::now());
+            self.roster.borrow_mut().record_probe(&entry.id, answers, Instant::now());
         }
     }
 }
