--- a/src/node/programs.rs
+++ b/src/node/programs.rs
@@ -1,4 +1,4 @@
-//! Start, end and inspection of programs.
+//! Starts, ends and shows programs for callers and operators.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,10 +17,9 @@
 use crate::core::outcome::{CallRefusal, RefusalReason, RequestFailure};
 use crate::core::ownership::ShardPhase;
 
-const OWNER_LOST: &str = "the owner did not answer; the request may be repeated";
-const START_RETRY: Duration = Duration::from_millis(500);
+const OWNER_DID_NOT_ANSWER: &str = "the owner did not answer; the request may be repeated";
+const START_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// A program as callers and operators see it.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ProgramView {
     pub program: Box<str>,
@@ -33,20 +32,20 @@
     pub turns: Vec<TurnRecord>,
 }
 
-/// A start that is under way.
+/// Key of a start that is in progress.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct StartKey {
     workspace: WorkspaceId,
     key: Box<str>,
 }
 
-/// Keeps other starts with the same key waiting until it is dropped.
-struct StartTurn {
+/// Lock on a start key; other starts with the same key wait until it is dropped.
+struct StartGuard {
     node: Rc<Node>,
     start: StartKey,
 }
 
-impl Drop for StartTurn {
+impl Drop for StartGuard {
     fn drop(&mut self) {
         self.node.starting.borrow_mut().remove(&self.start);
         self.node.calls_changed.notify_waiters();
@@ -54,19 +53,18 @@
 }
 
 impl Node {
-    /// Starts a program on a shard of this instance.
     pub async fn start_program(
         self: &Rc<Self>,
         request: StartRequest,
     ) -> Result<ProgramId, RequestFailure> {
         self.check_start(&request)?;
         self.check_store()?;
-        // A task of its own: the caller may give up, and later starts with the key wait for this.
+        // Spawned, so that it completes even if the caller goes away: others wait for the start key.
         let node = self.clone();
         let starting = actix_rt::spawn(async move { node.write_start(request).await });
         match timeout(self.settings.limits.commit_hold(), starting).await {
             Ok(Ok(started)) => started,
-            Ok(Err(_)) | Err(_) => Err(RequestFailure::unknown(OWNER_LOST)),
+            Ok(Err(_)) | Err(_) => Err(RequestFailure::unknown(OWNER_DID_NOT_ANSWER)),
         }
     }
 
@@ -74,15 +72,15 @@
         self: &Rc<Self>,
         request: StartRequest,
     ) -> Result<ProgramId, RequestFailure> {
-        let _turn = match &request.start_key {
-            Some(key) => Some(self.start_turn(&request.workspace, key).await),
+        let _guard = match &request.start_key {
+            Some(key) => Some(self.lock_start_key(&request.workspace, key).await),
             None => None,
         };
         if let Some(known) = self.started_program(&request) {
             return Ok(known);
         }
         let epoch = self.incarnation();
-        let program = self.mint(self.pick_shard()?);
+        let program = self.allocate_program_id(self.pick_shard()?);
         let workspace = request.workspace.clone();
         let started = JournalRecord::Started {
             program,
@@ -92,37 +90,36 @@
             parent: request.parent,
         };
         self.journal.append(epoch, vec![started]).await.map_err(write_failure)?;
-        self.note_start(program);
+        self.record_start(program);
         self.event("program_started").program(program).workspace(&workspace).log();
         Ok(program)
     }
 
-    /// The live program that an earlier start with the same key made.
+    /// Returns the program that an earlier start with the same key created, unless it has ended.
     fn started_program(&self, request: &StartRequest) -> Option<ProgramId> {
         let book = self.book.borrow();
         let known = book.by_start_key(&request.workspace, request.start_key.as_deref()?)?;
         known.ended.is_none().then_some(known.id)
     }
 
-    /// Waits until no other start with this key is under way. A caller that repeats a slow start
-    /// would else get a second program.
-    async fn start_turn(self: &Rc<Self>, workspace: &str, key: &str) -> StartTurn {
+    /// Waits until no other start with this key is in progress, so that repeating a slow start does
+    /// not create a second program.
+    async fn lock_start_key(self: &Rc<Self>, workspace: &str, key: &str) -> StartGuard {
         let start = StartKey { workspace: workspace.into(), key: key.into() };
         loop {
             let changed = self.calls_changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
             if self.starting.borrow_mut().insert(start.clone()) {
-                return StartTurn { node: self.clone(), start };
+                return StartGuard { node: self.clone(), start };
             }
             changed.await;
         }
     }
 
-    /// Whether a start would be taken now.
     pub fn check_start(&self, request: &StartRequest) -> Result<(), CallRefusal> {
         if self.draining.get() {
-            return Err(CallRefusal::retry(RefusalReason::Draining, START_RETRY));
+            return Err(CallRefusal::retry(RefusalReason::Draining, START_RETRY_DELAY));
         }
         self.check_workspace(&request.workspace)?;
         let config = self.config.borrow();
@@ -133,23 +130,23 @@
         Ok(())
     }
 
-    /// Goes round the served shards, so that programs spread over them.
+    /// Picks a served shard, in turn.
     fn pick_shard(&self) -> Result<ShardId, CallRefusal> {
         let serving = self.serving_shards();
         if serving.is_empty() {
-            return Err(CallRefusal::retry(RefusalReason::OwnerMoving, START_RETRY));
+            return Err(CallRefusal::retry(RefusalReason::OwnerMoving, START_RETRY_DELAY));
         }
-        let turn = self.program_counter.get() as usize % serving.len();
-        Ok(serving[turn])
+        let index = self.program_counter.get() as usize % serving.len();
+        Ok(serving[index])
     }
 
-    fn mint(&self, shard: ShardId) -> ProgramId {
+    fn allocate_program_id(&self, shard: ShardId) -> ProgramId {
         let counter = self.program_counter.get();
         self.program_counter.set(counter + 1);
         compose_program_id(shard, self.incarnation(), counter)
     }
 
-    fn note_start(&self, program: ProgramId) {
+    fn record_start(&self, program: ProgramId) {
         if let Some(record) = self.book.borrow_mut().get_mut(program) {
             let now = Some(Instant::now());
             record.started_here = now;
@@ -157,7 +154,7 @@
         }
     }
 
-    /// Ends a program, wherever it is served. Repeating it is harmless.
+    /// Ends a program on this or another instance. Idempotent.
     pub async fn end_program(self: &Rc<Self>, program: ProgramId) -> Result<(), RequestFailure> {
         match self.route(program).await? {
             ProgramRoute::Here => self.end_here(program, EndReason::Asked).await,
@@ -168,7 +165,7 @@
         }
     }
 
-    /// Ends a program that is served here, after its running call.
+    /// Ends a program that this instance serves, once its running call is finished.
     pub async fn end_here(
         self: &Rc<Self>,
         program: ProgramId,
@@ -179,7 +176,7 @@
             tokio::pin!(changed);
             changed.as_mut().enable();
             if self.shards.borrow().phase(shard_of(program)) != Some(ShardPhase::Serving) {
-                return Err(moving().into());
+                return Err(owner_moving().into());
             }
             let running = {
                 let book = self.book.borrow();
@@ -199,12 +196,12 @@
         if let Some(record) = self.book.borrow_mut().get_mut(program) {
             record.ending = true;
         }
-        // A task of its own: the caller may give up, and calls wait for the end of this.
+        // Spawned, so that it completes even if the caller goes away: calls wait for it.
         let node = self.clone();
         let ending = actix_rt::spawn(async move { node.write_end(program, reason).await });
         match timeout(self.settings.limits.commit_hold(), ending).await {
             Ok(Ok(ended)) => ended,
-            Ok(Err(_)) | Err(_) => Err(RequestFailure::unknown(OWNER_LOST)),
+            Ok(Err(_)) | Err(_) => Err(RequestFailure::unknown(OWNER_DID_NOT_ANSWER)),
         }
     }
 
@@ -220,7 +217,7 @@
         Ok(())
     }
 
-    /// Notes how long a program took, if this instance saw its start.
+    /// Records a program's duration; skipped if another instance started it.
     fn record_latency(&self, program: ProgramId) {
         let book = self.book.borrow();
         let Some(record) = book.get(program) else { return };
@@ -231,7 +228,7 @@
         }
     }
 
-    /// Reads a program's state as JSON, wherever it is served.
+    /// Returns a program's state as JSON, from this or another instance.
     pub async fn show_program(
         self: &Rc<Self>,
         program: ProgramId,
@@ -240,12 +237,11 @@
             ProgramRoute::Here => self.show_here(program).await,
             ProgramRoute::Peer(peer) => {
                 let forwarded = self.peers.forward_show(&peer, program).await;
-                forwarded.unwrap_or_else(|_| Err(moving()))
+                forwarded.unwrap_or_else(|_| Err(owner_moving()))
             }
         }
     }
 
-    /// Reads the state of a program that is served here, as JSON.
     pub async fn show_here(&self, program: ProgramId) -> Result<Box<str>, CallRefusal> {
         self.confirm_owner(program).await?;
         self.fill_turns(program).await?;
@@ -255,7 +251,6 @@
         Ok(serde_json::to_string(&view).expect("views serialize").into())
     }
 
-    /// All programs whose shards this instance serves.
     pub fn programs_here(&self) -> Vec<ProgramView> {
         self.book.borrow().iter().map(|record| self.view(record)).collect()
     }
@@ -274,19 +269,18 @@
     }
 }
 
-/// What became of a start or an end whose record was not seen to be written.
 fn write_failure(error: JournalError) -> RequestFailure {
     match error {
-        JournalError::Fenced => moving().into(),
-        JournalError::Open => RequestFailure::unknown(OWNER_LOST),
+        JournalError::Fenced => owner_moving().into(),
+        JournalError::Open => RequestFailure::unknown(OWNER_DID_NOT_ANSWER),
     }
 }
 
-/// An end whose owner got the request may have been done: it must not be called not run.
+/// Once the request was sent, the owner may have ended the program: the outcome is unknown.
 fn forward_failure(error: &PeerError) -> RequestFailure {
-    if error.sent { RequestFailure::unknown(OWNER_LOST) } else { moving().into() }
+    if error.sent { RequestFailure::unknown(OWNER_DID_NOT_ANSWER) } else { owner_moving().into() }
 }
 
-fn moving() -> CallRefusal {
-    CallRefusal::retry(RefusalReason::OwnerMoving, START_RETRY)
+fn owner_moving() -> CallRefusal {
+    CallRefusal::retry(RefusalReason::OwnerMoving, START_RETRY_DELAY)
 }
