--- a/src/node/config_sync.rs
+++ b/src/node/config_sync.rs
@@ -1,4 +1,4 @@
-//! Keeps the configuration current and takes operators' changes.
+//! Keeps the instance's configuration up to date and commits operators' changes.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,22 +15,21 @@
 use crate::core::ids::ConfigVersion;
 use crate::core::members::GossipMessage;
 
-/// How often an instance asks for the head. A proof is at most two intervals old where it came by
-/// way of a member, which leaves time to read the table before the bound of three seconds.
-const HEAD_INTERVAL: Duration = Duration::from_secs(1);
-const HEAD_TICK: Duration = Duration::from_millis(100);
-/// A proof this old is renewed from the table, whoever should have told.
-const FALLBACK_AGE: Duration = Duration::from_millis(2200);
+/// Interval of requests for the head. A proof that comes through a member is up to two intervals
+/// old, which leaves time to read the table within the bound of three seconds.
+const HEAD_POLL_INTERVAL: Duration = Duration::from_secs(1);
+const HEAD_TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Age from which the proof is renewed from the table, also where a member is the source.
+const TABLE_FALLBACK_AGE: Duration = Duration::from_millis(2200);
 const FETCH_TIMEOUT: Duration = Duration::from_millis(500);
-const CATCH_UP_RETRY: Duration = Duration::from_millis(250);
-/// Times a change is tried again because an unrelated one got in before it.
-const MAX_RACES: usize = 32;
-/// Times a change is sent whose replies are lost.
-const COMMIT_ATTEMPTS: usize = 8;
-const COMMIT_RETRY: Duration = Duration::from_millis(250);
-const UNAVAILABLE_RETRY: Duration = Duration::from_secs(1);
-/// Changes read from the table at a time.
-const LOG_PAGE: usize = 256;
+const CATCH_UP_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Bounds the retries after unrelated changes were committed first.
+const MAX_CHANGE_ATTEMPTS: usize = 32;
+/// Bounds the retries after lost replies.
+const MAX_COMMIT_ATTEMPTS: usize = 8;
+const COMMIT_RETRY_DELAY: Duration = Duration::from_millis(250);
+const UNAVAILABLE_RETRY_DELAY: Duration = Duration::from_secs(1);
+const LOG_PAGE_ROWS: usize = 256;
 
 const OBJECT_PREFIX: &str = "config/object/";
 
@@ -42,20 +41,20 @@
     format!("{OBJECT_PREFIX}{}", body.key()).into()
 }
 
-/// An operator's change that was not taken.
+/// Failure of an operator's change.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ChangeError {
-    /// Another change to the same object was first.
+    /// The object is not at the version that the operator expected.
     Conflict {
         current: ConfigVersion,
         message: Box<str>,
     },
     Invalid(Box<str>),
-    /// Nothing changed.
+    /// Nothing was changed.
     Unavailable {
         retry_after: Duration,
     },
-    /// The table's reply was lost.
+    /// The table's reply was lost; the change may be committed.
     Unknown {
         message: Box<str>,
     },
@@ -67,52 +66,51 @@
     }
 }
 
-/// A read that failed has changed nothing, whatever became of its reply.
+/// For failed reads only: they change nothing, even if the reply was lost.
 impl From<StoreError> for ChangeError {
     fn from(_: StoreError) -> Self {
-        Self::Unavailable { retry_after: UNAVAILABLE_RETRY }
+        Self::Unavailable { retry_after: UNAVAILABLE_RETRY_DELAY }
     }
 }
 
 impl Node {
-    /// Starts the tasks that learn the head and fetch the changes up to it.
+    /// Starts the tasks that poll the head and fetch the changes up to it.
     pub(crate) fn spawn_config_sync(self: Rc<Self>) {
-        let following = self.clone();
+        let poller = self.clone();
         actix_rt::spawn(async move {
             let mut next = Instant::now();
-            while !following.is_stopped() {
-                if Instant::now() >= next || following.config_age() >= FALLBACK_AGE {
-                    next = Instant::now() + HEAD_INTERVAL;
-                    following.refresh_head().await;
+            while !poller.is_stopped() {
+                if Instant::now() >= next || poller.config_age() >= TABLE_FALLBACK_AGE {
+                    next = Instant::now() + HEAD_POLL_INTERVAL;
+                    poller.refresh_head().await;
                 }
-                sleep(HEAD_TICK).await;
+                sleep(HEAD_TICK_INTERVAL).await;
             }
         });
         actix_rt::spawn(async move {
             while !self.is_stopped() {
                 self.config_changed.notified().await;
                 if self.catch_up().await.is_err() {
-                    sleep(CATCH_UP_RETRY).await;
+                    sleep(CATCH_UP_RETRY_DELAY).await;
                     self.config_changed.notify_one();
                 }
             }
         });
     }
 
-    /// How long ago the configuration here was certainly the newest.
+    /// Time since the local configuration was last proven to be the newest.
     fn config_age(&self) -> Duration {
         self.config.borrow().age(Instant::now()).unwrap_or(Duration::MAX)
     }
 
-    /// Asks for the head where this instance gets it from: the table, or a member that reads it.
+    /// Requests the head from this instance's source: the table, or a member that reads it.
     ///
-    /// The member may be cut off or know no more than this instance; then the proof grows old, and
-    /// the table is read before the bound on its age is reached.
+    /// If the member is partitioned or out of date, the proof ages until the table is read instead.
     async fn refresh_head(&self) {
         if let HeadSource::Member(source) = self.head_source()
-            && self.config_age() < FALLBACK_AGE
+            && self.config_age() < TABLE_FALLBACK_AGE
         {
-            // Somebody has read the table a moment ago: it answers.
+            // A member has just read the table, so it is available.
             self.journal.set_unread(false);
             let actions = self.members.borrow_mut().ping(&source, Instant::now());
             self.perform(actions);
@@ -122,7 +120,7 @@
         let answer = self.read_head().await;
         self.journal.set_unread(answer.is_err());
         if let Ok(head) = answer {
-            self.saw_config_head(head, read_at);
+            self.observe_config_head(head, read_at);
         }
     }
 
@@ -131,14 +129,13 @@
         head_source(&self.settings.instance, members.serving().map(|member| &member.instance))
     }
 
-    /// Takes in what a datagram says of the head.
+    /// Observes the head in a datagram, and wakes the fetching task if it is newer.
     ///
-    /// The age in an answer counts from the moment the question left here: how long the answer was
-    /// on its way, or lay unread while this process was paused, is not known. An unasked message
-    /// proves nothing for that reason; its head only tells that there is something to fetch.
-    pub(crate) fn hear_config(&self, message: &GossipMessage, asked: Option<Instant>) {
-        if let (Some(asked), Some(age)) = (asked, message.head_age)
-            && let Some(at) = asked.checked_sub(age)
+    /// The age in an answer counts from the time its ping was sent, since the answer may have been
+    /// delayed in the network or by a pause of this process. Other messages prove no age.
+    pub(crate) fn observe_config(&self, message: &GossipMessage, ping_sent: Option<Instant>) {
+        if let (Some(ping_sent), Some(age)) = (ping_sent, message.head_age)
+            && let Some(at) = ping_sent.checked_sub(age)
         {
             self.config.borrow_mut().observe_head(message.config_head, at);
         }
@@ -152,8 +149,8 @@
     /// Fetches missing changes from the member that announced them, else from the table.
     async fn catch_up(&self) -> Result<(), StoreError> {
         let before = self.config_version();
-        if let Some(announcer) = self.config_announcer.take() {
-            self.fetch_changes(&announcer).await;
+        if let Some(source) = self.config_announcer.take() {
+            self.fetch_changes(&source).await;
         }
         if self.config.borrow().is_behind() {
             self.sync_config().await?;
@@ -164,8 +161,8 @@
         Ok(())
     }
 
-    async fn fetch_changes(&self, announcer: &str) {
-        let peer = self.members.borrow().get(announcer).cloned();
+    async fn fetch_changes(&self, source: &str) {
+        let peer = self.members.borrow().get(source).cloned();
         let Some(peer) = peer else { return };
         let fetching = self.peers.changes_since(&peer, self.config_version());
         if let Ok(Ok(changes)) = timeout(FETCH_TIMEOUT, fetching).await {
@@ -175,18 +172,18 @@
         }
     }
 
-    /// Tells a few members of a new version at once; they fetch it and tell others in turn.
+    /// Announces a new version to a few members, which fetch it and announce it in turn.
     fn announce_config(&self) {
         let actions = self.members.borrow_mut().push_updates(Instant::now());
         self.perform(actions);
     }
 
-    /// The newest change in force at this instance.
+    /// Version of the newest change applied at this instance.
     pub fn config_version(&self) -> ConfigVersion {
         self.config.borrow().version()
     }
 
-    /// Loads the newest configuration as a whole.
+    /// Loads the complete configuration from the table.
     pub(crate) async fn load_config(&self) -> Result<(), StoreError> {
         let read_at = Instant::now();
         let head = self.read_head().await?;
@@ -195,7 +192,7 @@
             self.config.borrow_mut().load(change.version, &change.body);
         }
         self.config.borrow_mut().finish_load(head);
-        self.saw_config_head(head, read_at);
+        self.observe_config_head(head, read_at);
         Ok(())
     }
 
@@ -204,21 +201,19 @@
         found.map_or(Ok(0), |row| parse_row(&row))
     }
 
-    /// Notes that the head was `head` at `at`.
-    pub(crate) fn saw_config_head(&self, head: ConfigVersion, at: Instant) {
+    pub(crate) fn observe_config_head(&self, head: ConfigVersion, at: Instant) {
         self.config.borrow_mut().observe_head(head, at);
         if self.config.borrow().is_behind() {
             self.config_changed.notify_one();
         }
     }
 
-    /// Reads the head and the changes up to it.
     pub(crate) async fn sync_config(&self) -> Result<(), StoreError> {
         let read_at = Instant::now();
         let head = self.read_head().await?;
         while self.config.borrow().version() < head {
             let after = log_key(self.config.borrow().version());
-            let rows = self.table.scan("config/log/", Some(&after), LOG_PAGE).await?;
+            let rows = self.table.scan("config/log/", Some(&after), LOG_PAGE_ROWS).await?;
             let before = self.config.borrow().version();
             for found in rows {
                 let change: ConfigChange = parse_row(&found.row)?;
@@ -232,7 +227,7 @@
         Ok(())
     }
 
-    /// Changes for a peer that lags.
+    /// Changes after `version`; empty if they are no longer kept.
     pub(crate) fn changes_since(&self, version: ConfigVersion) -> Vec<ConfigChange> {
         self.config.borrow().changes_since(version).unwrap_or_default()
     }
@@ -244,14 +239,14 @@
         }
     }
 
-    /// Makes an operator's change, if the object still has the version the operator read.
+    /// Commits an operator's change if the object is still at version `expected`.
     pub async fn change_config(
         &self,
         body: ChangeBody,
         expected: ConfigVersion,
     ) -> Result<ConfigVersion, ChangeError> {
         body.check()?;
-        for _ in 0..MAX_RACES {
+        for _ in 0..MAX_CHANGE_ATTEMPTS {
             self.sync_config().await?;
             let current = self.config.borrow().object_version(&body);
             if current != expected {
@@ -263,7 +258,7 @@
                 return Ok(version);
             }
         }
-        Err(ChangeError::Unavailable { retry_after: UNAVAILABLE_RETRY })
+        Err(ChangeError::Unavailable { retry_after: UNAVAILABLE_RETRY_DELAY })
     }
 
     fn check_references(&self, body: &ChangeBody) -> Result<(), ChangeError> {
@@ -288,7 +283,7 @@
         Ok(())
     }
 
-    /// One attempt; `None` if another change got in between.
+    /// Returns `None` if another change was committed first.
     async fn try_change(&self, body: &ChangeBody) -> Result<Option<ConfigVersion>, ChangeError> {
         let head_row = self.table.read(&[CONFIG_HEAD.into()]).await?.pop().flatten();
         let head_version = head_row.as_ref().map_or(0, |row| row.version);
@@ -314,42 +309,42 @@
         Ok(Some(change.version))
     }
 
-    /// Commits a change, repeating it to the letter until its fate is known; false if another
-    /// change got in between.
+    /// Commits a change, repeating it unchanged while its outcome is unknown; false if another
+    /// change was committed first.
     ///
-    /// A lost reply leaves open whether the change stands. Told that it failed, its operator would
-    /// make it again and meet a conflict with himself. Versions only rise, so a conflict dooms all
-    /// attempts alike, and the log then tells whose change stands.
+    /// Reporting a lost reply as a failure would make the operator repeat the change and conflict
+    /// with the first attempt. After a conflict no attempt can succeed, as versions only increase;
+    /// the log then shows which change was committed.
     async fn commit_change(
         &self,
         change: &ConfigChange,
         transaction: &TableTransaction,
     ) -> Result<bool, ChangeError> {
-        let mut lost = false;
-        let mut last = StoreError::Unavailable;
-        for _ in 0..COMMIT_ATTEMPTS {
+        let mut reply_lost = false;
+        let mut last_error = StoreError::Unavailable;
+        for _ in 0..MAX_COMMIT_ATTEMPTS {
             self.metrics.store_write();
             match self.table.commit(transaction).await {
                 Ok(CommitReply::Committed) => return Ok(true),
-                Ok(CommitReply::Conflict(_)) if !lost => return Ok(false),
+                Ok(CommitReply::Conflict(_)) if !reply_lost => return Ok(false),
                 Ok(CommitReply::Conflict(_)) => match self.read_change(change.version).await {
-                    Ok(stands) => return Ok(stands.as_ref() == Some(change)),
-                    Err(error) => last = error,
+                    Ok(committed) => return Ok(committed.as_ref() == Some(change)),
+                    Err(error) => last_error = error,
                 },
                 Err(error) => {
-                    lost |= is_open(&error);
-                    last = error;
+                    reply_lost |= is_open(&error);
+                    last_error = error;
                 }
             }
-            if !lost {
+            if !reply_lost {
                 break;
             }
-            sleep(COMMIT_RETRY).await;
+            sleep(COMMIT_RETRY_DELAY).await;
         }
-        if lost {
-            Err(ChangeError::Unknown { message: last.to_string().into() })
+        if reply_lost {
+            Err(ChangeError::Unknown { message: last_error.to_string().into() })
         } else {
-            Err(last.into())
+            Err(last_error.into())
         }
     }
 
@@ -361,7 +356,8 @@
         found.map(|row| parse_row(&row)).transpose()
     }
 
-    /// Adds the budget's row to the change of a workspace: limit and draws must never disagree.
+    /// Updates the budget row in the same transaction, so that its limit stays at or above the
+    /// tokens drawn.
     async fn budget_change(
         &self,
         transaction: TableTransaction,
--- a/src/node/gossip.rs
+++ b/src/node/gossip.rs
@@ -1,4 +1,4 @@
-//! Drives the failure detector: timer, datagrams in and out, and reactions to changes.
+//! Drives the failure detector with timers and datagrams, and applies membership changes.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,9 +10,8 @@
 use crate::core::ids::InstanceId;
 use crate::core::members::{GossipMessage, MemberAction, MemberState};
 
-const TICK: Duration = Duration::from_millis(50);
-/// How often an instance that sees nobody asks the roster's addresses again.
-const REJOIN: Duration = Duration::from_secs(2);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+const REJOIN_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Node {
     pub(crate) fn spawn_gossip(self: Rc<Self>) {
@@ -21,19 +20,19 @@
             while !self.is_stopped() {
                 if Instant::now() >= next_join {
                     self.join_members();
-                    next_join = Instant::now() + REJOIN;
+                    next_join = Instant::now() + REJOIN_INTERVAL;
                 }
                 let actions = self.members.borrow_mut().tick(Instant::now());
                 self.perform(actions);
-                sleep(TICK).await;
+                sleep(TICK_INTERVAL).await;
             }
         });
     }
 
-    /// Asks instances of the roster that are not members yet, or not any more, for everybody.
+    /// Requests the member list from roster instances that are unknown or considered dead.
     ///
-    /// After a cut that lasted, both sides hold the other for dead and probe it no more; the
-    /// roster is what lets them meet again.
+    /// After a long partition each side considers the other dead and no longer probes it; only the
+    /// roster lets them rejoin.
     fn join_members(&self) {
         let seeds: Vec<_> = {
             let members = self.members.borrow();
@@ -47,18 +46,17 @@
         self.perform(actions);
     }
 
-    /// Takes in a datagram from another instance.
     pub fn receive_gossip(&self, message: &GossipMessage) {
         if self.is_stopped() {
             return;
         }
         self.observe_stamp(message.stamp);
         let actions = self.members.borrow_mut().receive(message, Instant::now());
-        let asked = actions.iter().find_map(|action| match action {
-            MemberAction::Answered(asked) => Some(*asked),
+        let ping_sent = actions.iter().find_map(|action| match action {
+            MemberAction::Answered(ping_sent) => Some(*ping_sent),
             MemberAction::Send { .. } | MemberAction::Changed(_) => None,
         });
-        self.hear_config(message, asked);
+        self.observe_config(message, ping_sent);
         self.perform(actions);
     }
 
@@ -89,7 +87,7 @@
         }
     }
 
-    /// Lets everything follow that depends on who is there.
+    /// Updates shard placement and engine ownership after a membership change.
     pub(crate) fn members_changed(&self) {
         let serving: Vec<InstanceId> =
             self.members.borrow().serving().map(|member| member.instance.clone()).collect();
--- a/src/node/journal.rs
+++ b/src/node/journal.rs
@@ -274,7 +274,7 @@
             CommitEnd::Committed => {
                 node.grants_committed(&commit.grants);
                 if let Some(head) = commit.grants.head {
-                    node.saw_config_head(head, commit.built);
+                    node.observe_config_head(head, commit.built);
                 }
                 return Ok(BatchEnd::Written);
             }
