--- a/src/node/calls/model.rs
+++ b/src/node/calls/model.rs
@@ -311,12 +311,12 @@
         let text: Box<str> = (*self.call.text()).into();
         let context = self.context;
         let key = PrefixKey::Program(context.request.program);
-        self.node.prefix_computed(&engine, key, usage.prompt + usage.generated);
+        self.node.record_computed_prefix(&engine, key, usage.prompt + usage.generated);
         let shared = PrefixKey::Shared {
             workspace: context.workspace.clone(),
             definition: context.definition.clone(),
         };
-        self.node.prefix_computed(&engine, shared, context.shared_tokens());
+        self.node.record_computed_prefix(&engine, shared, context.shared_tokens());
         self.node.metrics.prompt_tokens(usage);
         let mut conclusion = CallConclusion::answered(CallAnswer { text, upstream: engine, usage });
         conclusion.records = self.records;
--- a/src/node/instance.rs
+++ b/src/node/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: its state, its tasks, its start and its end.
+//! State and lifecycle of one instance.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -34,7 +34,7 @@
 use crate::core::ownership::{IncarnationRow, ShardOwner, ShardTable};
 use crate::core::timeline::{CausalClock, CausalStamp, EventRing, TimelineEvent};
 
-/// What a node is made of; tests put small fakes behind the same interfaces.
+/// Settings and dependencies of a node; tests pass fakes.
 pub struct NodeParts {
     pub settings: NodeSettings,
     pub table: Rc<dyn TableStore>,
@@ -43,13 +43,13 @@
     pub engines: Rc<dyn EngineClient>,
     pub services: Rc<dyn ServiceClient>,
     pub peers: Rc<dyn PeerNetwork>,
-    /// Added to the wall clock; tests set instances' clocks apart with it.
+    /// Offset added to the wall clock, for tests with clock skew.
     pub skew: Duration,
     pub seed: u64,
 }
 
 impl NodeParts {
-    /// Bounds every wait for the platform and for other instances.
+    /// Adds timeouts to the platform and to peers.
     fn timed(self) -> Self {
         Self {
             table: TimedPlatform::new(self.table),
@@ -61,7 +61,7 @@
     }
 }
 
-/// A running instance. All its tasks share it on one thread.
+/// A running instance, shared by its tasks on one thread.
 pub struct Node {
     pub(crate) settings: NodeSettings,
     pub(crate) table: Rc<dyn TableStore>,
@@ -82,22 +82,22 @@
     pub(crate) metrics: NodeMetrics,
     pub(crate) live: RefCell<BTreeMap<(ProgramId, CallNumber), Rc<LiveCall>>>,
     pub(crate) calls_changed: Notify,
-    /// Segment objects that the last checkpoints of the served shards refer to.
+    /// Segment objects referenced by the last checkpoints of the served shards.
     pub(crate) segments: RefCell<SegmentIndex>,
-    /// Starts under way that carry a key.
+    /// Keys of starts in progress.
     pub(crate) starting: RefCell<BTreeSet<StartKey>>,
     pub(crate) shards_changed: Notify,
     pub(crate) config_changed: Notify,
-    /// The member that last told of a newer configuration.
+    /// The member that last announced a newer configuration.
     pub(crate) config_announcer: RefCell<Option<InstanceId>>,
     /// Wakes the task that claims and hands over shards.
     pub(crate) ownership_hint: Notify,
     pub(crate) suspects: RefCell<BTreeMap<Incarnation, JournalTail>>,
     pub(crate) program_counter: Cell<u64>,
     pub(crate) draining: Cell<bool>,
-    /// Requests of callers that are being answered here, relayed ones included.
+    /// Callers' requests in progress, including forwarded ones.
     pub(super) open_requests: Cell<u32>,
-    /// When the owners of shards were last looked up for a call.
+    /// Time of the last owner lookup made for a call, by shard.
     pub(crate) owners_read: RefCell<BTreeMap<ShardId, Instant>>,
     pub(super) stopped: Cell<bool>,
     incarnation: Cell<Incarnation>,
@@ -107,15 +107,14 @@
     wall_start: Duration,
 }
 
-/// Row with the number of the newest incarnation of any instance.
+/// Row with the highest incarnation number allocated to any instance.
 const INCARNATION_COUNTER: &str = "incarnation-counter";
 const EVENT_CAPACITY: usize = 20_000;
-const START_RETRY: Duration = Duration::from_millis(200);
+const START_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Starts a node: takes an incarnation number, loads the configuration and joins the others.
 pub async fn start_node(parts: NodeParts) -> Result<Rc<Node>, StoreError> {
     let parts = parts.timed();
-    let incarnation = take_incarnation(&*parts.table, &parts.settings.instance).await?;
+    let incarnation = allocate_incarnation(&*parts.table, &parts.settings.instance).await?;
     let node = Rc::new(Node::new(parts, incarnation));
     node.journal.reset(incarnation);
     node.load_config().await?;
@@ -137,9 +136,9 @@
 
 /// Allocates the next incarnation number.
 ///
-/// A lost reply may leave a number unused, which does no harm; it is never used twice because
-/// the counter's row is written conditionally.
-async fn take_incarnation(
+/// A lost reply may leave a number unused. None is used twice, as the counter's row is written
+/// conditionally.
+async fn allocate_incarnation(
     table: &dyn TableStore,
     instance: &InstanceId,
 ) -> Result<Incarnation, StoreError> {
@@ -173,7 +172,7 @@
 impl Node {
     fn new(parts: NodeParts, incarnation: Incarnation) -> Self {
         let settings = parts.settings;
-        let me = MemberInfo {
+        let local = MemberInfo {
             instance: settings.instance.clone(),
             incarnation,
             revision: 0,
@@ -185,7 +184,7 @@
             load: MemberLoad::default(),
         };
         let now = Instant::now();
-        let members = MemberTable::new(MemberSettings::default(), me, parts.seed, now);
+        let members = MemberTable::new(MemberSettings::default(), local, parts.seed, now);
         let ledger = ledger_settings(&settings);
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self {
@@ -241,12 +240,11 @@
         ShardOwner { instance, incarnation: self.incarnation() }
     }
 
-    /// Wall time by this instance's clock, which may differ from others'.
+    /// Wall clock time since the Unix epoch; instances' clocks may differ.
     pub(crate) fn wall(&self) -> Duration {
         self.wall_start + self.started.elapsed()
     }
 
-    /// Time since this process started to run as an instance.
     pub(crate) fn uptime(&self) -> Duration {
         self.started.elapsed()
     }
@@ -259,7 +257,6 @@
         self.clock.borrow_mut().observe(self.wall(), remote)
     }
 
-    /// Starts an event for the log and the time line.
     pub(crate) fn event(&self, kind: &'static str) -> EventBuilder<'_> {
         let event = TimelineEvent {
             stamp: self.stamp(),
@@ -273,22 +270,21 @@
         EventBuilder { node: self, event }
     }
 
-    /// Recent events, oldest first.
+    /// Recent events in ascending order of time.
     pub fn events_since(&self, after_micros: u64) -> Vec<TimelineEvent> {
         self.events.borrow().since(after_micros)
     }
 
-    /// Members by name, this instance included.
+    /// Members in order of their names, including this instance.
     pub fn member_list(&self) -> Vec<MemberInfo> {
         self.members.borrow().iter().cloned().collect()
     }
 
-    /// Shards this instance serves.
     pub fn serving_shards(&self) -> Vec<ShardId> {
         self.shards.borrow().serving().collect()
     }
 
-    /// How many shards an instance owns, as far as this one knows.
+    /// Number of shards that an instance owns in this instance's view.
     pub(crate) fn shards_of(&self, instance: &str) -> u32 {
         let shards = self.shards.borrow();
         let owned = (0..shards.shards())
@@ -296,7 +292,7 @@
         owned.count() as u32
     }
 
-    /// The instance a shard's calls should be carried to, if it is another one that may answer.
+    /// The instance to forward a shard's calls to, unless it is this one or its incarnation ended.
     pub(crate) fn shard_peer(&self, shard: ShardId) -> Option<MemberInfo> {
         let owner = self.shards.borrow().owner(shard).cloned()?;
         let members = self.members.borrow();
@@ -311,15 +307,13 @@
         self.ledger.borrow_mut().settle(reservation, used);
     }
 
-    /// Records that an engine has computed a prefix.
-    pub(crate) fn prefix_computed(&self, engine: &str, key: PrefixKey, tokens: Tokens) {
+    pub(crate) fn record_computed_prefix(&self, engine: &str, key: PrefixKey, tokens: Tokens) {
         let roster = self.roster.borrow();
         let Some(entry) = roster.get(engine) else { return };
         let Some(model) = self.settings.model(&entry.group) else { return };
         self.residency.borrow_mut().touch(engine, key, tokens, model.cache_tokens);
     }
 
-    /// Brings the gauges up to date.
     pub(crate) fn sample_metrics(&self) {
         let totals = self.ledger.borrow().totals();
         self.metrics.sample(NodeSample {
@@ -333,21 +327,21 @@
 
     /// Stops serving at once; [`Node::step_down`] follows.
     ///
-    /// Until the new incarnation is taken, rows of the table may go on naming this one as owner.
-    /// Shards must not be adopted on their word: their programs may have moved on elsewhere, and
-    /// callers would be told of a history that lacks its last turns.
-    pub(crate) fn note_fenced(&self) {
+    /// Until a new incarnation is allocated, table rows may still name this one as owner. Shards
+    /// must not be adopted on that basis: their programs may have continued elsewhere, and callers
+    /// would see a history without its last turns.
+    pub(crate) fn mark_fenced(&self) {
         self.shards.borrow_mut().clear_phases();
         self.journal.set_fenced();
     }
 
-    /// Goes on as a new incarnation after this one has been fenced.
+    /// Restarts as a new incarnation after this one has been fenced.
     ///
-    /// Everything in memory may be out of date: another instance has taken the shards over. The
-    /// calls under way end as unknown; their callers find the truth at the new owner.
+    /// Another instance has taken over the shards, so the state in memory may be stale. Running
+    /// calls end with an unknown outcome; callers find the result at the new owner.
     pub(crate) async fn step_down(self: &Rc<Self>) {
         self.event("instance_fenced").detail(format!("incarnation={}", self.incarnation())).log();
-        self.note_fenced();
+        self.mark_fenced();
         self.book.borrow_mut().clear();
         for call in std::mem::take(&mut *self.live.borrow_mut()).into_values() {
             call.finish(CallOutcome::Unknown(UnknownCall {
@@ -356,9 +350,9 @@
             }));
         }
         let incarnation = loop {
-            match take_incarnation(&*self.table, &self.settings.instance).await {
+            match allocate_incarnation(&*self.table, &self.settings.instance).await {
                 Ok(incarnation) => break incarnation,
-                Err(_) => sleep(START_RETRY).await,
+                Err(_) => sleep(START_RETRY_DELAY).await,
             }
         };
         self.incarnation.set(incarnation);
@@ -368,7 +362,7 @@
         self.shards_changed.notify_waiters();
     }
 
-    /// Ends all tasks at once, as a crash would.
+    /// Stops all tasks without a handover, as a crash would.
     pub fn halt(&self) {
         self.stopped.set(true);
     }
@@ -377,34 +371,33 @@
         self.stopped.get()
     }
 
-    /// Incarnations that nobody can rely on any more: dead, replaced, or never seen.
-    pub(crate) fn incarnations_over(&self) -> BTreeSet<Incarnation> {
+    /// Incarnations of shard owners that are dead, replaced, or were never seen.
+    pub(crate) fn ended_incarnations(&self) -> BTreeSet<Incarnation> {
         let shards = self.shards.borrow();
         let members = self.members.borrow();
-        let grace = self.started.elapsed() > Duration::from_secs(3);
-        let mut over = BTreeSet::new();
+        let members_known = self.started.elapsed() > Duration::from_secs(3);
+        let mut ended = BTreeSet::new();
         for shard in 0..shards.shards() {
             let Some(owner) = shards.owner(shard) else { continue };
             let gone = match members.get(&owner.instance) {
                 Some(info) => {
                     info.incarnation > owner.incarnation || info.state == MemberState::Dead
                 }
-                None => grace,
+                None => members_known,
             };
             if gone && owner.incarnation != self.incarnation() {
-                over.insert(owner.incarnation);
+                ended.insert(owner.incarnation);
             }
         }
-        over
+        ended
     }
 
-    /// Makes a transaction fail once this incarnation has been fenced.
+    /// Adds a check that fails the transaction once this incarnation has been fenced.
     pub(crate) fn fenced(&self, transaction: TableTransaction) -> TableTransaction {
         transaction.check(incarnation_key(self.incarnation()), UNFENCED)
     }
 }
 
-/// An event being put together.
 pub(crate) struct EventBuilder<'a> {
     node: &'a Node,
     event: TimelineEvent,
@@ -431,7 +424,7 @@
         self
     }
 
-    /// Writes the event to the log and keeps it for the time line.
+    /// Writes the event to the log and to the ring of recent events.
     pub(crate) fn log(self) {
         let event = self.event;
         log::info!("{event}");
--- a/src/node/ownership/mod.rs
+++ b/src/node/ownership/mod.rs
@@ -77,7 +77,7 @@
         let found = self.table.read(&[incarnation_key(epoch)]).await?.pop().flatten();
         let unfenced = found.is_some_and(|row| row.version == UNFENCED);
         if !unfenced && epoch == self.incarnation() {
-            self.note_fenced();
+            self.mark_fenced();
         }
         Ok(unfenced)
     }
@@ -91,7 +91,7 @@
         self.metrics.store_write();
         let reply = self.table.commit(transaction).await?;
         if epoch == self.incarnation() && reply.conflicts_on(&incarnation_key(epoch)) {
-            self.note_fenced();
+            self.mark_fenced();
         }
         Ok(reply)
     }
@@ -136,7 +136,7 @@
             return Ok(());
         }
         self.drop_lost_shards();
-        let over = self.incarnations_over();
+        let over = self.ended_incarnations();
         let plan = self.shards.borrow().plan(&self.identity(), &over);
         for shard in plan.hand_over {
             self.shards.borrow_mut().set_phase(shard, ShardPhase::Draining);
