--- a/src/node/launch.rs
+++ b/src/node/launch.rs
@@ -1,4 +1,4 @@
-//! Puts a node on real sockets.
+//! Runs a node on network sockets.
 
 use std::io;
 use std::rc::Rc;
@@ -16,10 +16,8 @@
 use super::upstream::HttpUpstreams;
 use crate::config::NodeSettings;
 
-/// Pause before the platform is asked again at the start.
-const START_RETRY: Duration = Duration::from_millis(500);
+const START_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// A socket could not be opened.
 #[derive(Debug, Display, Error)]
 #[display("cannot listen on {address}: {error}")]
 pub struct LaunchError {
@@ -34,7 +32,6 @@
     }
 }
 
-/// The sockets of one instance, open.
 pub struct NodeSockets {
     http: TcpListener,
     rpc: TcpListener,
@@ -47,8 +44,7 @@
 }
 
 impl NodeSockets {
-    /// Opens the addresses of the settings. Those with port 0 get a free port, which is written
-    /// back into the settings.
+    /// Binds the addresses in the settings; a port 0 is replaced there by the port that was bound.
     pub async fn open(settings: &mut NodeSettings) -> Result<Self, LaunchError> {
         let http = listen(&settings.http_address).await?;
         let rpc = listen(&settings.rpc_address).await?;
@@ -64,13 +60,13 @@
     }
 }
 
-fn bound_address(listener: &TcpListener, asked: &str) -> Result<Box<str>, LaunchError> {
+fn bound_address(listener: &TcpListener, requested: &str) -> Result<Box<str>, LaunchError> {
     let address = listener.local_addr();
-    let address = address.map_err(|error| LaunchError { address: asked.into(), error })?;
+    let address = address.map_err(|error| LaunchError { address: requested.into(), error })?;
     Ok(address.to_string().into())
 }
 
-/// Starts a node on its sockets, waiting for the platform as long as it takes.
+/// Starts a node on its sockets, retrying until the platform is available.
 pub async fn launch_node(settings: NodeSettings, sockets: NodeSockets, seed: u64) -> Rc<Node> {
     let gossip = Rc::new(sockets.gossip);
     let network = RpcNetwork::new(gossip.clone());
@@ -92,7 +88,7 @@
             Ok(node) => break node,
             Err(error) => {
                 log::warn!("event=start_retried instance={} error=\"{error}\"", settings.instance);
-                sleep(START_RETRY).await;
+                sleep(START_RETRY_DELAY).await;
             }
         }
     };
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! What surrounds the core: sockets, timers and the platform.
+//! Runs the core on sockets and timers, against the platform's services.
 
 mod audit;
 mod batch;
