--- a/src/node/metrics.rs
+++ b/src/node/metrics.rs
@@ -1,4 +1,4 @@
-//! What is measured, as OpenTelemetry instruments, and its exposition as Prometheus text.
+//! OpenTelemetry instruments of an instance, exposed in the Prometheus text format.
 
 use std::time::Duration;
 
@@ -10,11 +10,10 @@
 use crate::core::outcome::{CallOutcome, TokenUsage};
 use crate::util::meter::MeterExposition;
 
-/// Upper ends of the latency buckets, in seconds: a voice turn takes one, a renewal minutes.
-const LATENCY_BOUNDARIES: [f64; 14] =
+/// Wide enough for both short voice turns and renewals, which take minutes.
+const LATENCY_BOUNDARIES_SECONDS: [f64; 14] =
     [0.05, 0.1, 0.2, 0.35, 0.5, 1.0, 2.0, 4.0, 8.0, 15.0, 30.0, 60.0, 300.0, 1800.0];
 
-/// The instruments of one instance.
 #[derive(Debug)]
 pub(crate) struct NodeMetrics {
     exposition: MeterExposition,
@@ -34,14 +33,14 @@
     store_outage_seconds: Gauge<f64>,
 }
 
-/// What is read off the node when its metrics are asked for.
+/// Gauge values read from the node on each scrape.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct NodeSample {
     pub(crate) drawn: Tokens,
     pub(crate) spent: Tokens,
     pub(crate) programs: u64,
     pub(crate) shards: u64,
-    /// Time since the table last failed to answer a commit that still waits.
+    /// Time since the table stopped answering; zero while it answers.
     pub(crate) store_outage: Duration,
 }
 
@@ -51,7 +50,7 @@
         let meter = exposition.meter("merlinsaddle");
         let counter = |name: &'static str| meter.u64_counter(name).build();
         let histogram = |name: &'static str| {
-            meter.f64_histogram(name).with_boundaries(LATENCY_BOUNDARIES.to_vec()).build()
+            meter.f64_histogram(name).with_boundaries(LATENCY_BOUNDARIES_SECONDS.to_vec()).build()
         };
         Self {
             exposition,
@@ -121,13 +120,12 @@
         }
     }
 
-    /// All instruments in Prometheus' text format.
     pub(crate) fn exposition(&self) -> String {
         self.exposition.text()
     }
 }
 
-/// Processor time of this process, from the kernel's accounting; absent where there is none.
+/// CPU time of this process; `None` where the kernel does not provide it.
 fn processor_seconds() -> Option<f64> {
     let text = std::fs::read_to_string("/proc/self/schedstat").ok()?;
     let nanos: f64 = text.split_whitespace().next()?.parse().ok()?;
