--- a/src/util/line_budget.rs
+++ b/src/util/line_budget.rs
@@ -1,43 +1,41 @@
-//! How many log lines a second are written.
+//! Rate limit of log lines, so that a burst cannot overload the log's reader.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Lines about requests that went well, a second. An instance at its usual load has some 30.
-const MAX_ROUTINE: u32 = 50;
-/// Lines of any kind a second, and their bytes: a reader keeps up with ten times as many.
+/// Lines of answered requests per window; the rest is kept for failures.
+const MAX_ROUTINE_LINES: u32 = 50;
 const MAX_LINES: u32 = 400;
 const MAX_BYTES: usize = 128 * 1024;
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// What has been written and left out in the current second.
 #[derive(Debug)]
 pub(crate) struct LineBudget {
-    begun: Instant,
+    window_start: Instant,
     routine: u32,
     lines: u32,
     bytes: usize,
-    left_out: u64,
+    dropped: u64,
 }
 
 impl LineBudget {
     pub(crate) fn new(now: Instant) -> Self {
-        Self { begun: now, routine: 0, lines: 0, bytes: 0, left_out: 0 }
+        Self { window_start: now, routine: 0, lines: 0, bytes: 0, dropped: 0 }
     }
 
-    /// Whether a line may be written. Failures keep their room whatever goes well.
+    /// Returns false if the line must be dropped. Routine lines cannot use up the whole budget.
     pub(crate) fn admit(&mut self, line: &[u8], now: Instant) -> bool {
-        if now.saturating_duration_since(self.begun) >= WINDOW {
-            let left_out = self.left_out;
-            *self = Self { left_out, ..Self::new(now) };
+        if now.saturating_duration_since(self.window_start) >= WINDOW {
+            let dropped = self.dropped;
+            *self = Self { dropped, ..Self::new(now) };
         }
         let routine = is_routine(line);
         let full = self.lines >= MAX_LINES
             || self.bytes + line.len() > MAX_BYTES
-            || routine && self.routine >= MAX_ROUTINE;
+            || routine && self.routine >= MAX_ROUTINE_LINES;
         if full {
-            self.left_out += 1;
+            self.dropped += 1;
             return false;
         }
         self.lines += 1;
@@ -46,20 +44,20 @@
         true
     }
 
-    /// Notes a line that could not be written.
-    pub(crate) fn dropped(&mut self) {
-        self.left_out += 1;
+    /// Counts an admitted line that could not be written.
+    pub(crate) fn record_dropped(&mut self) {
+        self.dropped += 1;
     }
 
-    /// Lines left out since this was last asked.
-    pub(crate) fn take_left_out(&mut self) -> u64 {
-        std::mem::take(&mut self.left_out)
+    /// Returns the number of lines dropped since the previous call.
+    pub(crate) fn take_dropped_count(&mut self) -> u64 {
+        std::mem::take(&mut self.dropped)
     }
 }
 
 fn is_routine(line: &[u8]) -> bool {
-    const MARK: &[u8] = b" outcome=answered ";
-    line.windows(MARK.len()).any(|window| window == MARK)
+    const MARKER: &[u8] = b" outcome=answered ";
+    line.windows(MARKER.len()).any(|window| window == MARKER)
 }
 
 #[cfg(test)]
--- a/src/util/line_budget_tests.rs
+++ b/src/util/line_budget_tests.rs
@@ -1,25 +1,25 @@
 use super::*;
 
-const GOOD: &[u8] = b"event=call_ended outcome=answered status=200";
-const BAD: &[u8] = b"event=call_ended outcome=answer_lost status=502";
+const ROUTINE: &[u8] = b"event=call_ended outcome=answered status=200";
+const FAILURE: &[u8] = b"event=call_ended outcome=answer_lost status=502";
 
-/// A burst of good requests must not push the one failure out of the log.
+/// A burst of answered requests must not suppress the log line of a failure.
 #[test]
-fn failures_keep_their_room() {
+fn failure_is_admitted_after_a_burst_of_routine_lines() {
     let now = Instant::now();
     let mut budget = LineBudget::new(now);
-    let written = (0..1_000).filter(|_| budget.admit(GOOD, now)).count();
-    assert_eq!(written, MAX_ROUTINE as usize);
-    assert!(budget.admit(BAD, now));
-    assert_eq!(budget.take_left_out(), 950);
-    assert!(budget.admit(GOOD, now + WINDOW));
+    let written = (0..1_000).filter(|_| budget.admit(ROUTINE, now)).count();
+    assert_eq!(written, MAX_ROUTINE_LINES as usize);
+    assert!(budget.admit(FAILURE, now));
+    assert_eq!(budget.take_dropped_count(), 950);
+    assert!(budget.admit(ROUTINE, now + WINDOW));
 }
 
 #[test]
-fn lines_and_bytes_are_bounded() {
+fn lines_over_the_count_or_byte_limit_are_dropped() {
     let now = Instant::now();
     let mut budget = LineBudget::new(now);
-    let written = (0..1_000).filter(|_| budget.admit(BAD, now)).count();
+    let written = (0..1_000).filter(|_| budget.admit(FAILURE, now)).count();
     assert_eq!(written, MAX_LINES as usize);
     let later = now + WINDOW;
     let long = vec![b'x'; MAX_BYTES / 2 + 1];
--- a/src/util/line_sink.rs
+++ b/src/util/line_sink.rs
@@ -1,4 +1,4 @@
-//! A writer that never waits: what its reader does not take in time is dropped and counted.
+//! Non-blocking log writer: lines that its reader does not accept in time are dropped and counted.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -11,36 +11,35 @@
 
 use super::line_budget::LineBudget;
 
-/// Lines that may wait for the reader; with some 300 bytes each they take 0.3 MB.
-const MAX_WAITING: usize = 1_024;
+/// Bounds the memory used while the reader is blocked.
+const MAX_QUEUED_LINES: usize = 1_024;
 
-/// How often the end of the writing is looked for.
-const DRAIN_PACE: Duration = Duration::from_millis(1);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Hands lines to a thread that writes them, within a budget.
+/// Sends lines to a writing thread, within a budget.
 pub(crate) struct LineSink {
     lines: SyncSender<Vec<u8>>,
     budget: LineBudget,
-    waiting: Arc<AtomicUsize>,
+    unwritten: Arc<AtomicUsize>,
 }
 
-/// Waits for lines that have been taken and not yet written.
+/// Waits for queued lines to be written.
 pub(crate) struct LineDrain {
-    waiting: Arc<AtomicUsize>,
+    unwritten: Arc<AtomicUsize>,
 }
 
 impl LineDrain {
-    /// Returns when all lines are written, or after `limit`; true if all are.
+    /// Returns true once all lines are written, false after `timeout`.
     ///
-    /// A process that exits ends its writing thread: on a busy machine the line that tells how the stop
-    /// ended was missing from the log in half of the stops.
-    pub(crate) fn wait(&self, limit: Duration) -> bool {
-        let end = std::time::Instant::now() + limit;
-        while self.waiting.load(Ordering::Acquire) > 0 {
-            if std::time::Instant::now() >= end {
+    /// A process that exits without this may lose its last lines, as the writing thread ends with
+    /// it.
+    pub(crate) fn wait(&self, timeout: Duration) -> bool {
+        let deadline = std::time::Instant::now() + timeout;
+        while self.unwritten.load(Ordering::Acquire) > 0 {
+            if std::time::Instant::now() >= deadline {
                 return false;
             }
-            thread::sleep(DRAIN_PACE);
+            thread::sleep(DRAIN_POLL_INTERVAL);
         }
         true
     }
@@ -48,45 +47,44 @@
 
 impl LineSink {
     pub(crate) fn new(to: impl Write + Send + 'static) -> Self {
-        let (lines, waiting) = sync_channel(MAX_WAITING);
-        let count = Arc::new(AtomicUsize::new(0));
-        let written = count.clone();
-        thread::spawn(move || write_lines(waiting, to, &written));
-        Self { lines, budget: LineBudget::new(Instant::now()), waiting: count }
+        let (lines, queue) = sync_channel(MAX_QUEUED_LINES);
+        let unwritten = Arc::new(AtomicUsize::new(0));
+        let counter = unwritten.clone();
+        thread::spawn(move || write_lines(queue, to, &counter));
+        Self { lines, budget: LineBudget::new(Instant::now()), unwritten }
     }
 
-    /// A handle to wait for the end of the writing.
     pub(crate) fn drain(&self) -> LineDrain {
-        LineDrain { waiting: self.waiting.clone() }
+        LineDrain { unwritten: self.unwritten.clone() }
     }
 
-    /// Hands a line over; false if too many wait.
-    fn hand_over(&self, line: Vec<u8>) -> bool {
-        self.waiting.fetch_add(1, Ordering::Release);
-        let taken = self.lines.try_send(line).is_ok();
-        if !taken {
-            self.waiting.fetch_sub(1, Ordering::Release);
+    /// Returns false if the queue is full.
+    fn enqueue(&self, line: Vec<u8>) -> bool {
+        self.unwritten.fetch_add(1, Ordering::Release);
+        let sent = self.lines.try_send(line).is_ok();
+        if !sent {
+            self.unwritten.fetch_sub(1, Ordering::Release);
         }
-        taken
+        sent
     }
 
-    fn tell_left_out(&mut self) {
-        let left_out = self.budget.take_left_out();
+    fn report_dropped(&mut self) {
+        let left_out = self.budget.take_dropped_count();
         if left_out == 0 {
             return;
         }
         let notice = format!("level=WARN event=log_lines_left_out count={left_out}\n");
-        if !self.hand_over(notice.into_bytes()) {
-            (0..left_out).for_each(|_| self.budget.dropped());
+        if !self.enqueue(notice.into_bytes()) {
+            (0..left_out).for_each(|_| self.budget.record_dropped());
         }
     }
 }
 
-/// Writes what waits in one go, so that a burst costs one system call.
-fn write_lines(waiting: Receiver<Vec<u8>>, mut to: impl Write, unwritten: &AtomicUsize) {
-    while let Ok(mut text) = waiting.recv() {
+/// Writes all queued lines at once, so that a burst costs one system call.
+fn write_lines(queue: Receiver<Vec<u8>>, mut to: impl Write, unwritten: &AtomicUsize) {
+    while let Ok(mut text) = queue.recv() {
         let mut count = 1;
-        for line in waiting.try_iter() {
+        for line in queue.try_iter() {
             text.extend(line);
             count += 1;
         }
@@ -99,9 +97,9 @@
 impl Write for LineSink {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         if self.budget.admit(line, Instant::now()) {
-            self.tell_left_out();
-            if !self.hand_over(line.to_vec()) {
-                self.budget.dropped();
+            self.report_dropped();
+            if !self.enqueue(line.to_vec()) {
+                self.budget.record_dropped();
             }
         }
         Ok(line.len())
--- a/src/util/line_sink_tests.rs
+++ b/src/util/line_sink_tests.rs
@@ -2,18 +2,18 @@
 
 use super::*;
 
-/// A reader that takes nothing until it is let go, as a full pipe does.
-struct StuckReader {
+/// Blocks on the first write until the gate opens, like a full pipe.
+struct BlockedWriter {
     gate: Arc<Barrier>,
-    passed: bool,
+    released: bool,
     text: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for StuckReader {
+impl Write for BlockedWriter {
     fn write(&mut self, text: &[u8]) -> io::Result<usize> {
-        if !self.passed {
+        if !self.released {
             self.gate.wait();
-            self.passed = true;
+            self.released = true;
         }
         self.text.lock().expect("no writer panics").extend_from_slice(text);
         Ok(text.len())
@@ -24,34 +24,32 @@
     }
 }
 
-/// The log's reader stops. Lines pile up to the bound, then are dropped; the process goes on, and
-/// once the reader is back the log says how many are missing.
+/// A blocked log reader must not block the process, and dropped lines must not go unreported.
 #[test]
-fn a_reader_that_stops_holds_nobody_up() {
+fn blocked_reader_does_not_block_writers_and_dropped_lines_are_reported() {
     let gate = Arc::new(Barrier::new(2));
     let text = Arc::new(Mutex::new(Vec::new()));
     let mut sink =
-        LineSink::new(StuckReader { gate: gate.clone(), passed: false, text: text.clone() });
-    // All of this returns at once, though nobody reads.
-    for _ in 0..10 * MAX_WAITING {
+        LineSink::new(BlockedWriter { gate: gate.clone(), released: false, text: text.clone() });
+    // Returns at once, although nobody reads.
+    for _ in 0..10 * MAX_QUEUED_LINES {
         sink.write_all(b"event=x\n").expect("the sink takes all");
     }
     gate.wait();
-    let told = || String::from_utf8_lossy(&text.lock().expect("no writer panics")).into_owned();
-    while !told().contains("event=log_lines_left_out count=") {
+    let log = || String::from_utf8_lossy(&text.lock().expect("no writer panics")).into_owned();
+    while !log().contains("event=log_lines_left_out count=") {
         std::thread::sleep(std::time::Duration::from_millis(20));
         sink.write_all(b"event=y\n").expect("the sink takes all");
     }
 }
 
-/// A process ends right after its last line, while the thread that writes has not come to it. The end
-/// waits for the line; with a reader that has stopped it waits for the limit only.
+/// The last line must not be lost at exit, and a blocked reader must not delay exit past the timeout.
 #[test]
-fn the_last_line_is_waited_for() {
+fn drain_waits_until_the_last_line_is_written() {
     let gate = Arc::new(Barrier::new(2));
     let text = Arc::new(Mutex::new(Vec::new()));
     let mut sink =
-        LineSink::new(StuckReader { gate: gate.clone(), passed: false, text: text.clone() });
+        LineSink::new(BlockedWriter { gate: gate.clone(), released: false, text: text.clone() });
     let drain = sink.drain();
     assert!(drain.wait(Duration::ZERO), "nothing waits yet");
     sink.write_all(b"event=last\n").expect("the sink takes all");
