--- a/src/util/http_client.rs
+++ b/src/util/http_client.rs
@@ -1,4 +1,4 @@
-//! HTTP requests that tell "never sent" from "answer lost".
+//! HTTP client whose errors distinguish requests never sent from responses lost.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -15,13 +15,11 @@
 use super::http_server::FORWARDED_HEADER;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Largest answer that is read as a whole.
-const MAX_ANSWER: usize = 256 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 256 * 1024 * 1024;
 
-/// Why there is no answer.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub(crate) enum HttpError {
-    /// No byte of the request left.
+    /// No part of the request was sent, so a retry is safe.
     #[display("cannot connect")]
     NotSent,
     #[display("no answer: {message}")]
@@ -30,13 +28,12 @@
     Status { status: u16, message: Box<str> },
 }
 
-/// An answer whose body is still coming.
 pub(crate) type BodyChunks = Box<dyn Stream<Item = Result<Bytes, HttpError>> + Unpin>;
 
-/// A client with a pool of connections, which is thrown away when one of them has gone silent.
+/// A client whose connection pool is replaced after a timeout.
 pub(crate) struct HttpClient {
     pooled: RefCell<Client>,
-    /// Opens a connection for each request; for requests that must not meet a stale one.
+    /// Opens a connection for each request; for requests that must not reuse a stale one.
     single: Client,
 }
 
@@ -46,9 +43,9 @@
     }
 }
 
-fn new_client(keep: bool) -> Client {
+fn new_client(keep_alive: bool) -> Client {
     let connector = Connector::new().timeout(CONNECT_TIMEOUT).limit(0);
-    let connector = if keep {
+    let connector = if keep_alive {
         connector.conn_keep_alive(Duration::from_secs(15))
     } else {
         connector.conn_keep_alive(Duration::ZERO)
@@ -57,38 +54,38 @@
 }
 
 impl HttpClient {
-    /// Sends JSON and reads a JSON answer within `limit`.
+    /// Sends JSON and reads a JSON response within `timeout`.
     pub(crate) async fn call<T: DeserializeOwned>(
         &self,
         address: &str,
         path: &str,
         body: &impl Serialize,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<T, HttpError> {
         let body = serde_json::to_vec(body).expect("requests serialize").into();
-        let answer = self.exchange(Method::POST, address, path, body, limit).await?;
-        serde_json::from_slice(&answer).map_err(lost)
+        let response = self.exchange(Method::POST, address, path, body, timeout).await?;
+        serde_json::from_slice(&response).map_err(lost)
     }
 
-    /// Sends a request and reads the whole answer within `limit`.
+    /// Sends a request and reads the complete response within `timeout`.
     ///
-    /// If it does not come, all pooled connections are given up: whatever on the way has forgotten
-    /// one of them may have forgotten the others, and a retry must not meet them.
+    /// On timeout all pooled connections are dropped: a middlebox that lost the state of one may
+    /// have lost the others', and a retry must not reuse them.
     pub(crate) async fn exchange(
         &self,
         method: Method,
         address: &str,
         path: &str,
         body: Bytes,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Bytes, HttpError> {
         let client = self.pooled.borrow().clone();
         let exchange = async {
             let mut response = send(&client, method, address, path, body, false).await?;
-            response.body().limit(MAX_ANSWER).await.map_err(lost)
+            response.body().limit(MAX_RESPONSE_BYTES).await.map_err(lost)
         };
-        match actix_rt::time::timeout(limit, exchange).await {
-            Ok(answer) => answer,
+        match actix_rt::time::timeout(timeout, exchange).await {
+            Ok(response) => response,
             Err(_) => {
                 *self.pooled.borrow_mut() = new_client(true);
                 Err(HttpError::Lost { message: "the answer did not come in time".into() })
@@ -96,7 +93,7 @@
         }
     }
 
-    /// Sends a request over a connection of its own and returns the answer's body as it comes.
+    /// Sends a request over a new connection and streams the response body.
     pub(crate) async fn open(
         &self,
         method: Method,
@@ -109,7 +106,7 @@
         Ok(Box::new(response.map(|chunk| chunk.map_err(lost))))
     }
 
-    /// Like [`HttpClient::exchange`], over a connection of its own.
+    /// Like [`HttpClient::exchange`], over a new connection.
     pub(crate) async fn exchange_once(
         &self,
         method: Method,
@@ -117,15 +114,15 @@
         path: &str,
         body: Bytes,
         forwarded: bool,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Bytes, HttpError> {
         let exchange = async {
             let mut response = send(&self.single, method, address, path, body, forwarded).await?;
-            response.body().limit(MAX_ANSWER).await.map_err(lost)
+            response.body().limit(MAX_RESPONSE_BYTES).await.map_err(lost)
         };
         let message = "the answer did not come in time";
-        let late = |_| Err(HttpError::Lost { message: message.into() });
-        actix_rt::time::timeout(limit, exchange).await.unwrap_or_else(late)
+        let timed_out = |_| Err(HttpError::Lost { message: message.into() });
+        actix_rt::time::timeout(timeout, exchange).await.unwrap_or_else(timed_out)
     }
 }
 
@@ -149,7 +146,7 @@
         return Ok(response);
     }
     let status = response.status().as_u16();
-    let message = response.body().limit(MAX_ANSWER).await.unwrap_or_default();
+    let message = response.body().limit(MAX_RESPONSE_BYTES).await.unwrap_or_default();
     let message = String::from_utf8_lossy(&message).into_owned().into();
     Err(HttpError::Status { status, message })
 }
--- a/src/util/http_server.rs
+++ b/src/util/http_server.rs
@@ -1,4 +1,4 @@
-//! Serves HTTP on the thread of its caller.
+//! HTTP server that runs on the thread of its caller.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -15,19 +15,18 @@
 use tokio::net::TcpListener;
 use tokio::time::timeout;
 
-/// A request with its whole body.
+/// A request with its complete body.
 #[derive(Debug)]
 pub(crate) struct HttpRequest {
     pub(crate) method: Method,
     pub(crate) path: Box<str>,
     pub(crate) query: Box<str>,
     pub(crate) body: Bytes,
-    /// Set by an instance that carries a caller's request to its owner.
+    /// Another instance forwarded the request.
     pub(crate) forwarded: bool,
 }
 
 impl HttpRequest {
-    /// Value of a query parameter.
     pub(crate) fn parameter(&self, name: &str) -> Option<&str> {
         let pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.into_iter().find(|(key, _)| *key == name).map(|(_, value)| value)
@@ -37,15 +36,13 @@
 pub(crate) type HttpResponse = Response<BoxBody>;
 pub(crate) type HttpHandler = Rc<dyn Fn(HttpRequest) -> LocalBoxFuture<'static, HttpResponse>>;
 
-/// Header that keeps a request from being carried on a second time.
+/// Header that prevents a request from being forwarded twice.
 pub(crate) const FORWARDED_HEADER: &str = "x-merlinsaddle-forwarded";
 const KEEP_ALIVE: Duration = Duration::from_secs(30);
-/// Most that is read of a body after it was found too large, in bytes: four times the largest that is
-/// taken anywhere. And the longest time for that, in which so much comes at 27 Mbit/s.
-const MAX_DISCARDED: usize = 16 * 1024 * 1024;
-const DISCARD_TIME: Duration = Duration::from_secs(5);
+/// Bounds on reading a body that is too large: four times the largest body accepted anywhere.
+const MAX_DISCARDED_BYTES: usize = 16 * 1024 * 1024;
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Wraps an async function as a handler.
 pub(crate) fn handler<F, R>(handle: F) -> HttpHandler
 where
     F: Fn(HttpRequest) -> R + 'static,
@@ -54,11 +51,11 @@
     Rc::new(move |request| Box::pin(handle(request)))
 }
 
-/// Accepts connections until the listener's task is dropped.
+/// Accepts connections until its task is dropped.
 pub(crate) async fn serve_http(listener: TcpListener, max_body: usize, handler: HttpHandler) {
     let service = move |request: Request| {
         let handler = handler.clone();
-        async move { Ok::<_, Infallible>(answer(request, max_body, handler).await) }
+        async move { Ok::<_, Infallible>(respond(request, max_body, handler).await) }
     };
     let factory = HttpService::build()
         .keep_alive(KEEP_ALIVE)
@@ -81,26 +78,26 @@
     }
 }
 
-/// Reads on what is not wanted, so that the caller gets its answer: closed while it still sends, the
-/// connection is reset, and the caller never sees why it was refused.
+/// Discards the rest of a body. Closing the connection while the caller still sends would reset it
+/// before the caller reads the response.
 async fn discard(payload: &mut Payload) {
-    let mut left = MAX_DISCARDED;
+    let mut remaining = MAX_DISCARDED_BYTES;
     while let Some(Ok(chunk)) = payload.next().await {
-        match left.checked_sub(chunk.len()) {
-            Some(rest) => left = rest,
+        match remaining.checked_sub(chunk.len()) {
+            Some(rest) => remaining = rest,
             None => return,
         }
     }
 }
 
-async fn answer(mut request: Request, max_body: usize, handler: HttpHandler) -> HttpResponse {
+async fn respond(mut request: Request, max_body: usize, handler: HttpHandler) -> HttpResponse {
     let mut body = BytesMut::new();
     let mut payload = request.take_payload();
     while let Some(chunk) = payload.next().await {
         let Ok(chunk) = chunk else { return text_response(StatusCode::BAD_REQUEST, "broken body") };
         if body.len() + chunk.len() > max_body {
-            // Whether all of it came or not, the refusal is sent.
-            let _ = timeout(DISCARD_TIME, discard(&mut payload)).await;
+            // The refusal is sent even if the body was not read completely.
+            let _ = timeout(DISCARD_TIMEOUT, discard(&mut payload)).await;
             let message = format!("the body is larger than {max_body} bytes");
             return text_response(StatusCode::PAYLOAD_TOO_LARGE, &message);
         }
@@ -121,24 +118,21 @@
     error: &'a str,
 }
 
-/// A response with an error text.
 pub(crate) fn text_response(status: StatusCode, message: &str) -> HttpResponse {
     json_response(status, &ErrorBody { error: message })
 }
 
-/// A response with a JSON body.
 pub(crate) fn json_response(status: StatusCode, body: &impl Serialize) -> HttpResponse {
     let text = serde_json::to_vec(body).expect("responses serialize");
     body_response(status, "application/json", text.into())
 }
 
-/// A response with any body.
 pub(crate) fn body_response(status: StatusCode, kind: &'static str, body: Bytes) -> HttpResponse {
     let response = Response::build(status).insert_header(("content-type", kind)).body(body);
     response.map_into_boxed_body()
 }
 
-/// A response of JSON lines that come as they are made.
+/// Streams JSON lines.
 pub(crate) fn line_response(
     lines: impl Stream<Item = Bytes> + 'static,
     owner: Option<&str>,
