--- a/src/util/framed.rs
+++ b/src/util/framed.rs
@@ -1,18 +1,17 @@
-//! A line of JSON followed by raw bytes: texts of callers travel and are stored as they are.
+//! Frames of a JSON head line and a raw body, so that callers' texts need no escaping.
 
 use bytes::{Bytes, BytesMut};
 use derive_more::{Display, Error};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Bytes that hold no such line.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("the head is malformed: {reason}")]
 pub(crate) struct FrameError {
     pub(crate) reason: Box<str>,
 }
 
-/// Puts a head before the parts of a body.
+/// Encodes a frame; the body is the concatenation of its parts.
 pub(crate) fn frame(head: &impl Serialize, body: &[&[u8]]) -> Bytes {
     let head = serde_json::to_vec(head).expect("heads serialize");
     let size: usize = body.iter().map(|part| part.len()).sum();
@@ -25,10 +24,10 @@
     value.freeze()
 }
 
-/// Takes apart what [`frame`] put together.
+/// Decodes a frame into its head and body.
 pub(crate) fn unframe<T: DeserializeOwned>(value: &Bytes) -> Result<(T, Bytes), FrameError> {
     let error = |reason: &dyn ToString| FrameError { reason: reason.to_string().into() };
-    let end = value.iter().position(|byte| *byte == b'\n').ok_or_else(|| error(&"no head"))?;
-    let head = serde_json::from_slice(&value[..end]).map_err(|cause| error(&cause))?;
-    Ok((head, value.slice(end + 1..)))
+    let head_end = value.iter().position(|byte| *byte == b'\n').ok_or_else(|| error(&"no head"))?;
+    let head = serde_json::from_slice(&value[..head_end]).map_err(|cause| error(&cause))?;
+    Ok((head, value.slice(head_end + 1..)))
 }
--- a/src/util/lines.rs
+++ b/src/util/lines.rs
@@ -1,4 +1,4 @@
-//! JSON lines in a stream of bytes.
+//! Encoding and decoding of JSON lines in byte streams.
 
 use bytes::{Bytes, BytesMut};
 use futures_util::stream::StreamExt;
@@ -7,14 +7,12 @@
 
 use super::http_client::{BodyChunks, HttpError};
 
-/// Writes a value as one line.
 pub(crate) fn json_line(value: &impl Serialize) -> Bytes {
     let mut line = serde_json::to_vec(value).expect("lines serialize");
     line.push(b'\n');
     line.into()
 }
 
-/// Reads a body line by line.
 pub(crate) struct LineReader {
     chunks: BodyChunks,
     buffer: BytesMut,
@@ -25,8 +23,8 @@
         Self { chunks, buffer: BytesMut::new() }
     }
 
-    /// The next line's value. A body that ends, even between lines, is an error: the last value
-    /// of every stream says that it is the last.
+    /// Reads the next value. The end of the body is an error, even between lines: every stream marks
+    /// its last value, after which nothing is read.
     pub(crate) async fn next<T: DeserializeOwned>(&mut self) -> Result<T, HttpError> {
         loop {
             if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
--- a/src/util/meter.rs
+++ b/src/util/meter.rs
@@ -1,4 +1,4 @@
-//! Instruments that are read off as Prometheus text.
+//! OpenTelemetry instruments with Prometheus text exposition.
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Meter, MeterProvider};
@@ -6,7 +6,6 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// What keeps the instruments of one process and writes them out.
 #[derive(Debug)]
 pub(crate) struct MeterExposition {
     registry: Registry,
@@ -28,12 +27,10 @@
         Self { registry, provider }
     }
 
-    /// Makes instruments under a name of their scope.
     pub(crate) fn meter(&self, scope: &'static str) -> Meter {
         self.provider.meter(scope)
     }
 
-    /// All instruments in Prometheus' text format.
     pub(crate) fn text(&self) -> String {
         let mut text = Vec::new();
         let encoder = TextEncoder::new();
--- a/src/util/mod.rs
+++ b/src/util/mod.rs
@@ -1,4 +1,4 @@
-//! Small helpers shared by the parts that do input and output.
+//! I/O helpers shared by the other modules.
 
 pub(crate) mod framed;
 pub(crate) mod http_client;
--- a/src/util/pause.rs
+++ b/src/util/pause.rs
@@ -1,15 +1,14 @@
-//! Whether this process was paused since a moment.
+//! Detects pauses of the process, such as a suspended machine, by comparing two clocks.
 
 use std::time::{Duration, SystemTime};
 
 use tokio::time::Instant;
 
-/// Difference between the clocks that is no pause: timers fire some milliseconds late, and wall clocks
-/// are corrected by small steps.
-const CLOCK_SLACK: Duration = Duration::from_millis(200);
+/// Exceeds the delay of late timers and the small steps by which wall clocks are corrected.
+const MAX_CLOCK_DRIFT: Duration = Duration::from_millis(200);
 
-/// A moment by both clocks. The steady one stands still while a machine is suspended, so what was
-/// learned just before would pass for fresh; the wall clock goes on.
+/// A time by both clocks. The steady clock stops while a machine is suspended, which would make
+/// stale data look fresh; the wall clock does not.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ClockMark {
     steady: Instant,
@@ -25,22 +24,20 @@
         Self::new(Instant::now(), SystemTime::now())
     }
 
-    /// The moment by the steady clock.
     pub(crate) fn steady(&self) -> Instant {
         self.steady
     }
 
-    /// Whether this process was paused between that moment and now.
     pub(crate) fn is_paused(&self) -> bool {
         self.is_paused_since(Instant::now(), SystemTime::now())
     }
 
-    /// Whether the wall clock went further than the steady one. A wall clock that is set forward looks
-    /// the same, which costs one more question.
+    /// Compares the elapsed times. A wall clock that is set forward looks like a pause, which costs
+    /// callers one more request.
     fn is_paused_since(&self, steady: Instant, wall: SystemTime) -> bool {
-        // Set back, it tells nothing.
-        let by_wall = wall.duration_since(self.wall).unwrap_or_default();
-        by_wall > steady.saturating_duration_since(self.steady) + CLOCK_SLACK
+        // A wall clock that is set back is not evidence of a pause.
+        let wall_elapsed = wall.duration_since(self.wall).unwrap_or_default();
+        wall_elapsed > steady.saturating_duration_since(self.steady) + MAX_CLOCK_DRIFT
     }
 }
 
--- a/src/util/pause_tests.rs
+++ b/src/util/pause_tests.rs
@@ -1,4 +1,4 @@
-//! Both clocks go alike, the machine is suspended, the wall clock is set.
+//! Guards against missed pauses and against false ones when the wall clock is adjusted.
 
 use std::time::{Duration, SystemTime};
 
@@ -8,12 +8,12 @@
 use super::ClockMark;
 
 #[rstest]
-#[case::alike(1_000, 1_000, false)]
+#[case::equal(1_000, 1_000, false)]
 #[case::timers_are_late(1_000, 1_150, false)]
 #[case::suspended(100, 3_100, true)]
 #[case::set_forward(100, 60_100, true)]
 #[case::set_back(1_000, -60_000, false)]
-fn a_pause_shows_between_the_clocks(
+fn pause_is_detected_when_the_wall_clock_runs_ahead(
     #[case] steady_ms: u64,
     #[case] wall_ms: i64,
     #[case] paused: bool,
--- a/src/util/rpc.rs
+++ b/src/util/rpc.rs
@@ -1,4 +1,4 @@
-//! The calling end of an RPC connection.
+//! Client side of Cap'n Proto RPC connections.
 
 use capnp::capability::FromClientHook;
 use capnp_rpc::rpc_twoparty_capnp::Side;
@@ -7,15 +7,14 @@
 use tokio::net::TcpStream;
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 
-/// An open connection: the other end's interface, and what has to run for calls to it to end.
+/// An open connection; calls on `client` complete only while `system` is polled.
 pub(crate) struct RpcConnection<T> {
     pub(crate) client: T,
     pub(crate) system: RpcSystem<Side>,
 }
 
-/// Sets RPC up on a connected stream.
 pub(crate) fn connect_rpc<T: FromClientHook>(stream: TcpStream) -> RpcConnection<T> {
-    // A small request must not wait for more to send.
+    // Nagle's algorithm would delay small requests.
     let _ = stream.set_nodelay(true);
     let (reader, writer) = stream.into_split();
     let network = twoparty::VatNetwork::new(
