--- a/src/util/line_budget.rs
+++ b/src/util/line_budget.rs
@@ -24,7 +24,7 @@
         Self { window_start: now, routine: 0, lines: 0, bytes: 0, dropped: 0 }
     }
 
-    /// Returns false if the line must be dropped. Routine lines cannot use up the whole budget.
+    /// Returns false if the line must be dropped. Part of the budget is reserved for failures.
     pub(crate) fn admit(&mut self, line: &[u8], now: Instant) -> bool {
         if now.saturating_duration_since(self.window_start) >= WINDOW {
             let dropped = self.dropped;
--- a/src/util/pause.rs
+++ b/src/util/pause.rs
@@ -28,6 +28,7 @@
         self.steady
     }
 
+    /// Returns true if the process was paused at any time since the mark.
     pub(crate) fn is_paused(&self) -> bool {
         self.is_paused_since(Instant::now(), SystemTime::now())
     }
