--- a/src/node/instance.rs
+++ b/src/node/instance.rs
@@ -285,7 +285,7 @@
     }
 
     /// Number of shards that an instance owns in this instance's view.
-    pub(crate) fn shards_of(&self, instance: &str) -> u32 {
+    pub(crate) fn owned_shard_count(&self, instance: &str) -> u32 {
         let shards = self.shards.borrow();
         let owned = (0..shards.shards())
             .filter(|shard| shards.owner(*shard).is_some_and(|owner| &*owner.instance == instance));
--- a/src/node/operators/server.rs
+++ b/src/node/operators/server.rs
@@ -236,7 +236,7 @@
             line.set_state(member.state.to_string());
             line.set_http_address(&*member.http_address);
             line.set_rpc_address(&*member.rpc_address);
-            line.set_shards(self.node.shards_of(&member.instance));
+            line.set_shards(self.node.owned_shard_count(&member.instance));
         }
         Ok(())
     }
