--- a/src/node/peers/network.rs
+++ b/src/node/peers/network.rs
@@ -174,7 +174,7 @@
         let path = format!("/v1/programs/{}", format_program_id(program));
         let empty = Bytes::new();
         let limit = CALL_TIMEOUT;
-        let sent = self.http.exchange_once(method, &to.http_address, &path, empty, true, limit);
+        let sent = self.http.exchange_unpooled(method, &to.http_address, &path, empty, true, limit);
         match sent.await {
             Ok(body) => Ok(Ok(body)),
             Err(HttpError::Status { message, .. }) => {
--- a/src/node/upstream/http.rs
+++ b/src/node/upstream/http.rs
@@ -130,7 +130,7 @@
         let body: Bytes = serde_json::to_vec(request).expect("requests serialize").into();
         // A pooled connection may be closed just as the request goes out; a non-idempotent call
         // would then end as unknown for nothing.
-        let exchange = self.client.exchange_once(
+        let exchange = self.client.exchange_unpooled(
             Method::POST,
             address,
             "/execute",
--- a/src/util/http_client.rs
+++ b/src/util/http_client.rs
@@ -34,12 +34,12 @@
 pub(crate) struct HttpClient {
     pooled: RefCell<Client>,
     /// Opens a connection for each request; for requests that must not reuse a stale one.
-    single: Client,
+    unpooled: Client,
 }
 
 impl Default for HttpClient {
     fn default() -> Self {
-        Self { pooled: RefCell::new(new_client(true)), single: new_client(false) }
+        Self { pooled: RefCell::new(new_client(true)), unpooled: new_client(false) }
     }
 }
 
@@ -102,12 +102,12 @@
         body: Bytes,
         forwarded: bool,
     ) -> Result<BodyChunks, HttpError> {
-        let response = send(&self.single, method, address, path, body, forwarded).await?;
+        let response = send(&self.unpooled, method, address, path, body, forwarded).await?;
         Ok(Box::new(response.map(|chunk| chunk.map_err(lost))))
     }
 
     /// Like [`HttpClient::exchange`], over a new connection.
-    pub(crate) async fn exchange_once(
+    pub(crate) async fn exchange_unpooled(
         &self,
         method: Method,
         address: &str,
@@ -117,7 +117,7 @@
         timeout: Duration,
     ) -> Result<Bytes, HttpError> {
         let exchange = async {
-            let mut response = send(&self.single, method, address, path, body, forwarded).await?;
+            let mut response = send(&self.unpooled, method, address, path, body, forwarded).await?;
             response.body().limit(MAX_RESPONSE_BYTES).await.map_err(lost)
         };
         let message = "the answer did not come in time";
