--- a/src/node/audit.rs
+++ b/src/node/audit.rs
@@ -205,7 +205,7 @@
             let key = budget_key(workspace);
             transaction = transaction.check(key.clone(), stored.version).put(key, &next);
         }
-        self.metrics.store_write();
+        self.metrics.record_store_write();
         // A conflict or a lost reply: the next audit sees whether the row is still there.
         if self.table.commit(&transaction).await.is_ok() {
             let certain = total.is_some();
--- a/src/node/batch.rs
+++ b/src/node/batch.rs
@@ -46,7 +46,7 @@
         let object = object_name("batch", self.incarnation(), &body);
         let mut retry = FIRST_RETRY;
         loop {
-            self.metrics.store_write();
+            self.metrics.record_store_write();
             let stored = self.objects.put(&object, body.clone().into()).await;
             self.journal.set_failing(stored.is_err());
             if stored.is_ok() {
--- a/src/node/callers/routes.rs
+++ b/src/node/callers/routes.rs
@@ -51,7 +51,7 @@
         };
     answer.unwrap_or_else(|failure| match failure {
         RequestFailure::NotRun(refusal) => {
-            node.metrics.refused(reason_name(&refusal.reason));
+            node.metrics.record_refusal(reason_name(&refusal.reason));
             refusal_response(&refusal)
         }
         RequestFailure::Unknown(unknown) => {
--- a/src/node/calls/model.rs
+++ b/src/node/calls/model.rs
@@ -317,7 +317,7 @@
             definition: context.definition.clone(),
         };
         self.node.record_computed_prefix(&engine, shared, context.shared_tokens());
-        self.node.metrics.prompt_tokens(usage);
+        self.node.metrics.record_prompt_tokens(usage);
         let mut conclusion = CallConclusion::answered(CallAnswer { text, upstream: engine, usage });
         conclusion.records = self.records;
         conclusion
--- a/src/node/calls/submit.rs
+++ b/src/node/calls/submit.rs
@@ -260,7 +260,7 @@
             }
         };
         let outcome = self.conclude(&context, conclusion).await;
-        self.metrics.call_finished(context.class, &outcome, started.elapsed());
+        self.metrics.record_call(context.class, &outcome, started.elapsed());
         let key = (context.request.program, context.request.number);
         let mut call = call;
         if context.epoch == self.incarnation() {
--- a/src/node/config_sync.rs
+++ b/src/node/config_sync.rs
@@ -323,7 +323,7 @@
         let mut reply_lost = false;
         let mut last_error = StoreError::Unavailable;
         for _ in 0..MAX_COMMIT_ATTEMPTS {
-            self.metrics.store_write();
+            self.metrics.record_store_write();
             match self.table.commit(transaction).await {
                 Ok(CommitReply::Committed) => return Ok(true),
                 Ok(CommitReply::Conflict(_)) if !reply_lost => return Ok(false),
--- a/src/node/journal.rs
+++ b/src/node/journal.rs
@@ -316,7 +316,7 @@
     let mut retry = FIRST_RETRY;
     let mut fenced = JournalError::Fenced;
     loop {
-        node.metrics.store_write();
+        node.metrics.record_store_write();
         let reply = node.table.commit(&commit.transaction).await;
         // Any answer shows that the table works, a fence included: calls would be refused for
         // good by an instance that has become another incarnation since.
--- a/src/node/metrics.rs
+++ b/src/node/metrics.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    pub(crate) fn call_finished(
+    pub(crate) fn record_call(
         &self,
         class: ServiceClass,
         outcome: &CallOutcome,
@@ -87,25 +87,25 @@
         self.calls.add(1, &[class, KeyValue::new("outcome", name)]);
     }
 
-    pub(crate) fn program_finished(&self, class: ServiceClass, elapsed: Duration) {
+    pub(crate) fn record_program(&self, class: ServiceClass, elapsed: Duration) {
         let class = KeyValue::new("class", class_name(class));
         self.program_seconds.record(elapsed.as_secs_f64(), &[class]);
     }
 
-    pub(crate) fn refused(&self, reason: &'static str) {
+    pub(crate) fn record_refusal(&self, reason: &'static str) {
         self.refusals.add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    pub(crate) fn prompt_tokens(&self, usage: TokenUsage) {
+    pub(crate) fn record_prompt_tokens(&self, usage: TokenUsage) {
         self.prompt_tokens.add(usage.prompt, &[]);
         self.cached_tokens.add(usage.cached, &[]);
     }
 
-    pub(crate) fn store_write(&self) {
+    pub(crate) fn record_store_write(&self) {
         self.store_writes.add(1, &[]);
     }
 
-    pub(crate) fn control_bytes(&self, bytes: usize) {
+    pub(crate) fn record_control_bytes(&self, bytes: usize) {
         self.control_bytes.add(bytes as u64, &[]);
     }
 
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -128,7 +128,7 @@
         let LeaseAction::Write { row, version } = action else { return Ok(()) };
         let transaction = TableTransaction::default().check(key.clone(), version).put(key, &row);
         let sent = Instant::now();
-        self.metrics.store_write();
+        self.metrics.record_store_write();
         // After a lost reply the lease counts as it did before; the next reading tells the rest.
         if self.table.commit(&self.fenced(transaction)).await? == CommitReply::Committed {
             group.lease.record_write(&row, &terms, sent);
--- a/src/node/ownership/checkpoint.rs
+++ b/src/node/ownership/checkpoint.rs
@@ -148,10 +148,10 @@
         body: Bytes,
     ) -> Result<(), StoreError> {
         for part in &plan.objects {
-            self.metrics.store_write();
+            self.metrics.record_store_write();
             self.objects.put(&part.name, part.body.clone()).await?;
         }
-        self.metrics.store_write();
+        self.metrics.record_store_write();
         self.objects.put(object, body).await
     }
 
@@ -211,7 +211,7 @@
         garbage.retain(|object| !used.contains(object));
         let mut failed = BTreeSet::new();
         for object in garbage {
-            self.metrics.store_write();
+            self.metrics.record_store_write();
             if self.objects.delete(&object).await.is_err() {
                 failed.insert(object);
             }
@@ -250,7 +250,7 @@
     /// leaves rows to find them by.
     async fn drop_batch_objects(&self, until: u64) {
         for object in self.journal.take_objects(until) {
-            self.metrics.store_write();
+            self.metrics.record_store_write();
             if self.objects.delete(&object).await.is_err() {
                 self.segments.borrow_mut().discard([object]);
             }
--- a/src/node/ownership/collect.rs
+++ b/src/node/ownership/collect.rs
@@ -92,17 +92,17 @@
             for batch in batches {
                 let row: BatchRow = parse_row(&batch.row)?;
                 if let Some(object) = row.object() {
-                    self.metrics.store_write();
+                    self.metrics.record_store_write();
                     self.objects.delete(object).await?;
                 }
                 transaction = transaction.delete(batch.key);
             }
-            self.metrics.store_write();
+            self.metrics.record_store_write();
             self.table.commit(&transaction).await?;
         }
         let key = incarnation_key(row.incarnation);
         let transaction = TableTransaction::default().check(key.clone(), row.version).delete(key);
-        self.metrics.store_write();
+        self.metrics.record_store_write();
         self.table.commit(&transaction).await?;
         self.event("incarnation_collected").detail(format!("of={}", row.incarnation)).log();
         Ok(())
--- a/src/node/ownership/mod.rs
+++ b/src/node/ownership/mod.rs
@@ -88,7 +88,7 @@
         transaction: &TableTransaction,
     ) -> Result<CommitReply, StoreError> {
         let epoch = self.incarnation();
-        self.metrics.store_write();
+        self.metrics.record_store_write();
         let reply = self.table.commit(transaction).await?;
         if epoch == self.incarnation() && reply.conflicts_on(&incarnation_key(epoch)) {
             self.mark_fenced();
--- a/src/node/ownership/takeover.rs
+++ b/src/node/ownership/takeover.rs
@@ -76,7 +76,7 @@
         let mut row: IncarnationRow = parse_row(&found)?;
         row.fenced_by = Some(self.incarnation());
         let transaction = TableTransaction::default().check(key.clone(), UNFENCED).put(key, &row);
-        self.metrics.store_write();
+        self.metrics.record_store_write();
         self.table.commit(&transaction).await?;
         self.event("incarnation_fenced")
             .detail(format!("fenced={incarnation} member={}", row.instance))
@@ -128,7 +128,7 @@
                 let key = stranded_key(incarnation);
                 transaction = transaction.check(key.clone(), 0).put(key, &stranded);
             }
-            self.metrics.store_write();
+            self.metrics.record_store_write();
             // A conflict or a lost reply: look again whether the account is still there.
             let _ = self.table.commit(&transaction).await;
         }
--- a/src/node/peers/network.rs
+++ b/src/node/peers/network.rs
@@ -281,7 +281,7 @@
     fn gossip(&self, to: &str, message: GossipMessage) {
         let bytes = encode_gossip(&message);
         if let Some(node) = self.node.borrow().upgrade() {
-            node.metrics.control_bytes(bytes.len());
+            node.metrics.record_control_bytes(bytes.len());
         }
         let Ok(address) = to.parse::<std::net::SocketAddr>() else { return };
         // A full socket buffer loses the datagram, as the network may.
--- a/src/node/peers/server.rs
+++ b/src/node/peers/server.rs
@@ -27,7 +27,7 @@
     let mut buffer = vec![0; DATAGRAM_MAX];
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else { continue };
-        node.metrics.control_bytes(length);
+        node.metrics.record_control_bytes(length);
         if let Ok(message) = decode_gossip(&buffer[..length]) {
             node.receive_gossip(&message);
         }
--- a/src/node/programs.rs
+++ b/src/node/programs.rs
@@ -224,7 +224,7 @@
         let Some(started) = record.started_here else { return };
         let config = self.config.borrow();
         if let Some(workspace) = config.workspace(&record.workspace) {
-            self.metrics.program_finished(workspace.value.class, started.elapsed());
+            self.metrics.record_program(workspace.value.class, started.elapsed());
         }
     }
 
