--- a/src/node/audit.rs
+++ b/src/node/audit.rs
@@ -200,7 +200,7 @@
             let key = budget_key(workspace);
             transaction = transaction.check(key.clone(), stored.version).put(key, &next);
         }
-        self.metrics.store_write();
+        self.metrics.record_store_write();
         // After a conflict or a lost reply the next audit checks whether the row still exists.
         if self.table.commit(&transaction).await.is_ok() {
             let certain = total.is_some();
--- a/src/node/callers/routes.rs
+++ b/src/node/callers/routes.rs
@@ -50,7 +50,7 @@
         };
     answer.unwrap_or_else(|failure| match failure {
         RequestFailure::NotRun(refusal) => {
-            node.metrics.refused(reason_name(&refusal.reason));
+            node.metrics.record_refusal(reason_name(&refusal.reason));
             refusal_response(&refusal)
         }
         RequestFailure::Unknown(unknown) => {
--- a/src/node/calls/model.rs
+++ b/src/node/calls/model.rs
@@ -147,7 +147,7 @@
             let engine = permit.engine().clone();
             match self.attempt(&permit, &reservation).await {
                 AttemptOutcome::Done(usage) => {
-                    self.node.readmit(&engine);
+                    self.node.readmit_upstream(&engine);
                     self.node.settle(reservation, usage.billed());
                     return self.into_answer(engine, usage);
                 }
@@ -164,7 +164,7 @@
                 }
                 AttemptOutcome::Failed(error) => {
                     if error.is_refusal() {
-                        self.node.put_aside(&engine);
+                        self.node.eject_upstream(&engine);
                     }
                     self.settle_failed(reservation, &permit, &error);
                     self.node
@@ -314,13 +314,13 @@
         let text: Box<str> = (*self.call.text()).into();
         let context = self.context;
         let key = PrefixKey::Program(context.request.program);
-        self.node.prefix_computed(&engine, key, usage.prompt + usage.generated);
+        self.node.record_computed_prefix(&engine, key, usage.prompt + usage.generated);
         let shared = PrefixKey::Shared {
             workspace: context.workspace.clone(),
             definition: context.definition.clone(),
         };
-        self.node.prefix_computed(&engine, shared, context.shared_tokens());
-        self.node.metrics.prompt_tokens(usage);
+        self.node.record_computed_prefix(&engine, shared, context.shared_tokens());
+        self.node.metrics.record_prompt_tokens(usage);
         let mut conclusion = CallConclusion::answered(CallAnswer { text, upstream: engine, usage });
         conclusion.records = self.failed_costs;
         conclusion
--- a/src/node/calls/submit.rs
+++ b/src/node/calls/submit.rs
@@ -257,7 +257,7 @@
             }
         };
         let outcome = self.commit_conclusion(&context, conclusion).await;
-        self.metrics.call_finished(context.class, &outcome, started.elapsed());
+        self.metrics.record_call(context.class, &outcome, started.elapsed());
         let key = (context.request.program, context.request.number);
         let mut call = call;
         if context.incarnation == self.incarnation() {
--- a/src/node/journal.rs
+++ b/src/node/journal.rs
@@ -262,7 +262,7 @@
             CommitOutcome::Committed => {
                 node.grants_committed(&commit.grants);
                 if let Some(head) = commit.grants.head {
-                    node.saw_config_head(head, commit.built_at);
+                    node.observe_config_head(head, commit.built_at);
                 }
                 return Ok(BatchOutcome::Written);
             }
@@ -302,7 +302,7 @@
     let mut retry = MIN_RETRY_DELAY;
     let mut fenced = JournalError::Fenced;
     loop {
-        node.metrics.store_write();
+        node.metrics.record_store_write();
         let reply = node.table.commit(&commit.transaction).await;
         // Any reply shows that the table is reachable, a conflict on the fence included: else the
         // next incarnation would start in a failing state and refuse all calls.
--- a/src/node/operators/server.rs
+++ b/src/node/operators/server.rs
@@ -236,7 +236,7 @@
             entry.set_state(member.state.to_string());
             entry.set_http_address(&*member.http_address);
             entry.set_rpc_address(&*member.rpc_address);
-            entry.set_shards(self.node.shards_of(&member.instance));
+            entry.set_shards(self.node.owned_shard_count(&member.instance));
         }
         Ok(())
     }
--- a/src/node/ownership/checkpoint.rs
+++ b/src/node/ownership/checkpoint.rs
@@ -146,10 +146,10 @@
         body: Bytes,
     ) -> Result<(), StoreError> {
         for part in &plan.objects {
-            self.metrics.store_write();
+            self.metrics.record_store_write();
             self.objects.put(&part.name, part.body.clone()).await?;
         }
-        self.metrics.store_write();
+        self.metrics.record_store_write();
         self.objects.put(object, body).await
     }
 
@@ -209,7 +209,7 @@
         garbage.retain(|object| !used.contains(object));
         let mut failed = BTreeSet::new();
         for object in garbage {
-            self.metrics.store_write();
+            self.metrics.record_store_write();
             if self.objects.delete(&object).await.is_err() {
                 failed.insert(object);
             }
@@ -247,7 +247,7 @@
     /// objects that are left.
     async fn delete_batch_objects(&self, until: u64) {
         for object in self.journal.take_objects(until) {
-            self.metrics.store_write();
+            self.metrics.record_store_write();
             if self.objects.delete(&object).await.is_err() {
                 self.segments.borrow_mut().mark_garbage([object]);
             }
--- a/src/node/ownership/mod.rs
+++ b/src/node/ownership/mod.rs
@@ -74,7 +74,7 @@
         let found = self.table.read(&[incarnation_key(epoch)]).await?.pop().flatten();
         let unfenced = found.is_some_and(|row| row.version == UNFENCED_VERSION);
         if !unfenced && epoch == self.incarnation() {
-            self.note_fenced();
+            self.mark_fenced();
         }
         Ok(unfenced)
     }
@@ -85,10 +85,10 @@
         transaction: &TableTransaction,
     ) -> Result<CommitReply, StoreError> {
         let epoch = self.incarnation();
-        self.metrics.store_write();
+        self.metrics.record_store_write();
         let reply = self.table.commit(transaction).await?;
         if epoch == self.incarnation() && reply.conflicts_on(&incarnation_key(epoch)) {
-            self.note_fenced();
+            self.mark_fenced();
         }
         Ok(reply)
     }
@@ -131,7 +131,7 @@
             return Ok(());
         }
         self.drop_lost_shards();
-        let ended = self.incarnations_over();
+        let ended = self.ended_incarnations();
         let plan = self.shards.borrow().plan(&self.identity(), &ended);
         for shard in plan.hand_over {
             self.shards.borrow_mut().set_phase(shard, ShardPhase::Draining);
--- a/src/node/ownership/takeover.rs
+++ b/src/node/ownership/takeover.rs
@@ -79,7 +79,7 @@
         row.fenced_by = Some(self.incarnation());
         let transaction =
             TableTransaction::default().check(key.clone(), UNFENCED_VERSION).put(key, &row);
-        self.metrics.store_write();
+        self.metrics.record_store_write();
         self.table.commit(&transaction).await?;
         self.event("incarnation_fenced")
             .detail(format!("fenced={incarnation} member={}", row.instance))
@@ -131,7 +131,7 @@
                 let key = unresolved_key(incarnation);
                 transaction = transaction.check(key.clone(), 0).put(key, &unresolved);
             }
-            self.metrics.store_write();
+            self.metrics.record_store_write();
             // After a conflict or a lost reply the account is read again.
             let _ = self.table.commit(&transaction).await;
         }
--- a/src/node/peers/network.rs
+++ b/src/node/peers/network.rs
@@ -170,7 +170,7 @@
         let path = format!("/v1/programs/{}", format_program_id(program));
         let empty = Bytes::new();
         let limit = CALL_TIMEOUT;
-        let sent = self.http.exchange_once(method, &to.http_address, &path, empty, true, limit);
+        let sent = self.http.exchange_unpooled(method, &to.http_address, &path, empty, true, limit);
         match sent.await {
             Ok(body) => Ok(Ok(body)),
             Err(HttpError::Status { message, .. }) => {
@@ -275,7 +275,7 @@
     fn gossip(&self, to: &str, message: GossipMessage) {
         let bytes = encode_gossip(&message);
         if let Some(node) = self.node.borrow().upgrade() {
-            node.metrics.control_bytes(bytes.len());
+            node.metrics.record_control_bytes(bytes.len());
         }
         let Ok(address) = to.parse::<std::net::SocketAddr>() else { return };
         // Gossip tolerates loss, so the datagram is dropped if the socket buffer is full.
--- a/src/node/upstream/http.rs
+++ b/src/node/upstream/http.rs
@@ -127,7 +127,7 @@
         let body: Bytes = serde_json::to_vec(request).expect("requests serialize").into();
         // A pooled connection may be closed by the service while the request is sent, which would
         // leave the outcome of a non-idempotent call unknown.
-        let exchange = self.client.exchange_once(
+        let exchange = self.client.exchange_unpooled(
             Method::POST,
             address,
             "/execute",
