--- a/src/bench/members/sim.rs
+++ b/src/bench/members/sim.rs
@@ -30,7 +30,7 @@
 const FETCH_OVERHEAD: usize = 400;
 /// Nodes of a map and counters beside a member's own fields.
 const ENTRY_OVERHEAD: usize = 64;
-/// Time for each node's join to have gone round, at some 50 entries a second from each node.
+/// Time allowed for each node's join to reach all others.
 const WARM_UP_EACH: Duration = Duration::from_millis(500);
 const WARM_UP_LEAST: Duration = Duration::from_secs(90);
 
--- a/src/bench/policy/setup.rs
+++ b/src/bench/policy/setup.rs
@@ -147,7 +147,7 @@
         }
     }
 
-    /// What the node did before any of this was measured.
+    /// Baseline of the comparisons; [`Self::chosen`] differs from it only in the fields it names.
     pub fn first() -> Self {
         Self {
             order: QueueOrder::LeastAttained,
--- a/src/bench/policy/topics.rs
+++ b/src/bench/policy/topics.rs
@@ -1,4 +1,4 @@
-//! The questions that were measured, each with its variants.
+//! The topics on which policies are compared, each with its variants.
 
 use std::time::Duration;
 
--- a/src/bench/workspace_cores.rs
+++ b/src/bench/workspace_cores.rs
@@ -12,7 +12,7 @@
 use crate::core::workspaces::{ApiKey, WorkspaceSpec, WorkspaceTable};
 
 const WORKSPACES: [usize; 3] = [86, 540, 5_400];
-/// Members: a large site's of today, the sweep's, the target's.
+/// Members, from a large site to the target.
 const MEMBERS: [usize; 3] = [88, 300, 530];
 /// Keys of a workspace.
 const KEYS: usize = 10;
--- a/src/cmd/limits.rs
+++ b/src/cmd/limits.rs
@@ -11,7 +11,6 @@
 use crate::gateway::LIMITS_PATH;
 use crate::util::http_client::HttpClient;
 
-/// How long an instance may take to answer; it takes milliseconds.
 const PATIENCE: Duration = Duration::from_secs(3);
 
 /// Show the limits of workspaces that an instance keeps for all.
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -244,9 +244,8 @@
     FuzzTest::teardown(system, model);
 }
 
-/// Found by the fuzzer: instance 1 deleted a checkpoint object that its own shards no longer
-/// needed, by rows it had read before the object was made; a shard at instance 0 still named it
-/// and could never be loaded again.
+/// Guards against deleting a checkpoint object on the evidence of rows read before it was made: a
+/// shard of another instance may still name it and could not be loaded again.
 #[test]
 fn a_checkpoint_object_is_kept_while_any_shard_names_it() {
     use FuzzStep::{Call, Cut, Kill, LoseReplies, Start, StoreOutage, Wait};
@@ -258,8 +257,8 @@
     run_steps(steps.concat());
 }
 
-/// Found by the fuzzer: a checkpoint took effect, its reply was lost, and a shard moved on with
-/// it. Its writer took it for failed and deleted its segments after the next checkpoint.
+/// Guards against deleting the segments of a checkpoint that took effect although its reply was
+/// lost: a shard that has moved may still need them.
 #[test]
 fn segments_of_an_unanswered_checkpoint_are_kept() {
     use FuzzStep::{Call, Freeze, Kill, LoseReplies, Start, Wait};
@@ -270,8 +269,8 @@
     run_steps(steps.concat());
 }
 
-/// Found by the fuzzer: replies to one instance's writes are lost while others freeze, die and
-/// start. Afterwards every call was refused for want of the store, long after it answered again.
+/// Guards against refusing calls for want of the store after it answers again, when replies to
+/// writes are lost while other instances freeze, die and start.
 #[rstest]
 #[case::frozen_and_killed(vec![
     FuzzStep::Call(0), FuzzStep::Call(0), FuzzStep::Freeze(0), FuzzStep::Wait(1519),
@@ -306,7 +305,7 @@
         rng_seed: RngSeed::Fixed(seed),
         failure_persistence: None,
         max_shrink_iters: 400,
-        // Some 15 steps are rejected a case, as they do not fit the model's state.
+        // Each case rejects the steps that do not fit the model's state.
         max_local_rejects: cases.saturating_mul(100).max(65_536),
         ..Config::default()
     }
