--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -1,11 +1,11 @@
-//! Checks of settings beyond their syntax.
+//! Checks the values of settings that have been parsed.
 
 use std::net::SocketAddr;
 
 use super::{NodeSettings, SettingsError};
 
-const SHARDS_MAX: u16 = 16_384;
-const ADDRESS: &str = "an IP address and a port, such as 10.0.0.1:7000";
+const MAX_SHARDS: u16 = 16_384;
+const ADDRESS_FORMAT: &str = "an IP address and a port, such as 10.0.0.1:7000";
 const POSITIVE: &str = "at least 1";
 
 impl NodeSettings {
@@ -17,10 +17,10 @@
     }
 
     fn check_names(&self) -> Result<(), SettingsError> {
-        let name = |text: &str| !text.is_empty() && !text.contains(char::is_whitespace);
-        require("instance", &self.instance, name(&self.instance), "a name without spaces")?;
-        require("zone", &self.zone, name(&self.zone), "the name of a zone")?;
-        let shards = (1..=SHARDS_MAX).contains(&self.shards);
+        let is_name = |text: &str| !text.is_empty() && !text.contains(char::is_whitespace);
+        require("instance", &self.instance, is_name(&self.instance), "a name without spaces")?;
+        require("zone", &self.zone, is_name(&self.zone), "the name of a zone")?;
+        let shards = (1..=MAX_SHARDS).contains(&self.shards);
         require("shards", self.shards, shards, "1 to 16384")
     }
 
@@ -32,7 +32,7 @@
             ("platform_address", &self.platform_address),
         ];
         for (key, address) in addresses {
-            require(key, address, address.parse::<SocketAddr>().is_ok(), ADDRESS)?;
+            require(key, address, address.parse::<SocketAddr>().is_ok(), ADDRESS_FORMAT)?;
         }
         Ok(())
     }
@@ -79,10 +79,10 @@
 fn require(
     key: impl Into<String>,
     value: impl ToString,
-    holds: bool,
+    valid: bool,
     allowed: &'static str,
 ) -> Result<(), SettingsError> {
-    if holds {
+    if valid {
         return Ok(());
     }
     let (key, value) = (key.into().into(), value.to_string().into());
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of one instance: JSON, read and checked before anything starts.
+//! Settings of one instance, read from JSON and checked before the instance starts.
 
 mod check;
 
@@ -11,95 +11,89 @@
 
 use crate::core::ids::{ShardId, Tokens};
 
-/// Everything an instance learns from its settings file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
-    /// Name of the instance; unique, and the same after a restart.
+    /// Unique, and the same after a restart.
     pub instance: Box<str>,
     pub zone: Box<str>,
-    /// Where callers connect, `IP:port`.
+    /// Address for callers, `IP:port`.
     pub http_address: Box<str>,
-    /// Where operators and other instances connect.
+    /// Address for operators and other instances.
     pub rpc_address: Box<str>,
     /// UDP address of the failure detector.
     pub gossip_address: Box<str>,
     /// Address of the platform's service: table, objects and roster.
     pub platform_address: Box<str>,
-    /// Number of shards; the same on every instance and never changed.
+    /// Must be the same on every instance and must never change.
     #[serde(default = "default_shards")]
     pub shards: ShardId,
-    /// The models whose engines this deployment has.
     #[serde(default)]
     pub models: Vec<ModelSettings>,
-    /// The plain services.
     #[serde(default)]
     pub services: Vec<ServiceSettings>,
     #[serde(default)]
     pub limits: LimitSettings,
 }
 
-/// What is true of all engines of one model.
+/// Properties shared by all engines of one model.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSettings {
     pub model: Box<str>,
-    /// Calls an engine runs at once.
+    /// Calls that an engine runs concurrently.
     pub slots: usize,
-    /// Prompt tokens an engine's cache holds.
+    /// Capacity of an engine's prefix cache.
     pub cache_tokens: Tokens,
-    /// Time to compute one prompt token.
     pub prefill_micros_per_token: u32,
-    /// Fewest bytes a token of this model's tokenizer stands for; 1 is always safe.
+    /// Lower bound over all tokens of the model's tokenizer; 1 is always safe.
     #[serde(default = "default_bytes_per_token")]
     pub min_bytes_per_token: u32,
-    /// Whether the engines refuse orders with an old fencing number.
+    /// Engines refuse orders with an outdated fencing number.
     #[serde(default)]
     pub checks_fencing: bool,
 }
 
-/// A plain service.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSettings {
     pub service: Box<str>,
-    /// How long an answer may take before the service counts as hung.
+    /// Time without an answer after which the service counts as hung.
     #[serde(default = "default_service_timeout_ms")]
     pub timeout_ms: u64,
 }
 
-/// Limits and intervals.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitSettings {
-    /// Table and object writes a second this instance may make.
+    /// Bounds the table and object writes of this instance.
     pub store_writes_per_second: u32,
     pub checkpoint_seconds: u32,
-    /// Tokens drawn from a budget beyond what waits.
+    /// Tokens requested from a budget in addition to the demand of waiting calls.
     pub budget_slice_tokens: Tokens,
-    /// Tokens a crash may leave unusable beyond those of running calls.
+    /// Tokens that a crash may make unusable in addition to those of running calls.
     pub budget_headroom_tokens: Tokens,
-    /// A grant without use for so long goes back to its budget.
+    /// Idle time after which a grant is returned to its budget.
     pub budget_idle_ms: u64,
-    /// Largest difference between two instances' clocks, or drift of one during a lease.
+    /// Maximum difference between the clocks of two instances, or drift of one during a lease.
     pub clock_error_ms: u64,
-    /// Pause after each order to an engine to load from the weight store.
+    /// Delay after each order to an engine to load from the weight store.
     pub engine_load_pause_ms: u64,
-    /// Longest wait of a call for an engine, when the caller names none.
+    /// Default for calls whose request names no deadline; bounds the wait for an engine.
     pub call_deadline_ms: u64,
-    /// A stream without a token for so long is resumed elsewhere.
+    /// Time without a token after which a stream is resumed on another engine.
     pub stream_stall_ms: u64,
-    /// A configuration not confirmed for so long takes no new work.
+    /// Time since the configuration was last confirmed after which new work is refused.
     pub config_bound_ms: u64,
-    /// How long callers may keep the list of addresses.
+    /// Time for which callers may cache the list of addresses.
     pub address_keep_seconds: u32,
-    /// How long an ended program's last answers can be fetched.
+    /// Time for which the last answers of an ended program can be fetched.
     pub retention_seconds: u32,
-    /// Largest body of a caller's request.
+    /// Applies to requests of callers.
     pub max_body_bytes: usize,
-    /// Longest time a finished call waits for its commit before the caller is told to come back.
+    /// Time that a finished call waits for its commit before the caller is told to retry.
     pub commit_hold_ms: u64,
-    /// New calls are refused once the platform's table has not answered for so long.
+    /// Time without an answer from the platform's table after which new calls are refused.
     pub store_bound_ms: u64,
 }
 
@@ -170,7 +164,7 @@
         Duration::from_millis(self.commit_hold_ms)
     }
 
-    /// Shortest time from one journal commit to the next.
+    /// Minimum time between journal commits that stays within the write rate.
     pub fn commit_interval(&self) -> Duration {
         Duration::from_secs(1) / self.store_writes_per_second
     }
@@ -188,7 +182,6 @@
     10_000
 }
 
-/// Why settings were not accepted.
 #[derive(Debug, Display, Error, From)]
 pub enum SettingsError {
     #[display("cannot read the settings: {_0}")]
@@ -201,12 +194,10 @@
 }
 
 impl NodeSettings {
-    /// Reads and checks a settings file.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         Self::parse(&fs::read_to_string(path)?)
     }
 
-    /// Parses and checks settings.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let settings: Self = serde_json::from_str(text)?;
         settings.check()?;
