--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -1,4 +1,5 @@
-//! A caller: finds addresses, submits calls, picks streams up again, retries with the same id.
+//! Client for callers: resolves instance addresses, submits calls, reconnects to their streams and
+//! retries under the same request id.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -16,12 +17,11 @@
 use crate::util::http_client::{HttpClient, HttpError};
 use crate::util::lines::LineReader;
 
-/// A stream says something each second; one that does not is dead.
-const STREAM_STALL: Duration = Duration::from_secs(4);
-const SHORT_TIMEOUT: Duration = Duration::from_secs(5);
-const RETRY: Duration = Duration::from_millis(200);
+/// Instances send an event each second, also while a call waits.
+const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(4);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Why a request got no final answer.
 #[derive(Debug, Clone, PartialEq, Display, Error)]
 pub enum CallerError {
     #[display("refused: {_0}")]
@@ -30,7 +30,6 @@
     Unreachable { message: Box<str> },
 }
 
-/// A call as the client submits it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClientCall {
     pub number: CallNumber,
@@ -39,25 +38,23 @@
     pub target: CallTarget,
 }
 
-/// What a finished call took.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallReport {
     pub outcome: CallOutcome,
-    /// The text as it was streamed.
+    /// Text of the last stream.
     pub streamed: Box<str>,
     pub first_token: Option<Duration>,
     pub last_token: Option<Duration>,
     pub total: Duration,
-    /// Times the call was submitted or picked up again.
+    /// Submissions after the first, those that reconnect to a running call included.
     pub retries: u32,
 }
 
-/// One caller's view of the system.
 pub struct CallerClient {
     seeds: Vec<Box<str>>,
     addresses: RefCell<Vec<Box<str>>>,
-    keep_until: Cell<Option<Instant>>,
-    turn: Cell<usize>,
+    addresses_expire_at: Cell<Option<Instant>>,
+    next_index: Cell<usize>,
     http: HttpClient,
 }
 
@@ -67,100 +64,100 @@
         Self {
             seeds: seeds.into_iter().collect(),
             addresses: RefCell::default(),
-            keep_until: Cell::new(None),
-            turn: Cell::new(0),
+            addresses_expire_at: Cell::new(None),
+            next_index: Cell::new(0),
             http: HttpClient::default(),
         }
     }
 
-    /// The addresses to use, asked anew when they were kept long enough.
+    /// Returns the cached addresses, fetched again once they have expired.
     pub async fn addresses(&self) -> Result<Vec<Box<str>>, CallerError> {
-        if self.keep_until.get().is_some_and(|until| Instant::now() < until) {
+        if self.addresses_expire_at.get().is_some_and(|expiry| Instant::now() < expiry) {
             return Ok(self.addresses.borrow().clone());
         }
         let mut candidates = self.addresses.borrow().clone();
         candidates.extend(self.seeds.iter().cloned());
-        let mut last: Box<str> = "no address is known".into();
+        let mut last_error: Box<str> = "no address is known".into();
         for address in candidates {
             let path = "/v1/addresses";
-            match self.short::<AddressesBody>(Method::GET, &address, path, Bytes::new()).await {
+            match self.request::<AddressesBody>(Method::GET, &address, path, Bytes::new()).await {
                 Ok(body) if !body.addresses.is_empty() => {
-                    let keep = Duration::from_secs(body.keep_seconds.into());
-                    self.keep_until.set(Some(Instant::now() + keep));
+                    let lifetime = Duration::from_secs(body.keep_seconds.into());
+                    self.addresses_expire_at.set(Some(Instant::now() + lifetime));
                     *self.addresses.borrow_mut() = body.addresses.clone();
                     return Ok(body.addresses);
                 }
-                Ok(_) => last = "no instance takes work".into(),
-                Err(error) => last = error.to_string().into(),
+                Ok(_) => last_error = "no instance is ready".into(),
+                Err(error) => last_error = error.to_string().into(),
             }
         }
-        Err(CallerError::Unreachable { message: last })
+        Err(CallerError::Unreachable { message: last_error })
     }
 
-    /// An address, another one each time.
-    async fn address(&self) -> Result<Box<str>, CallerError> {
+    async fn next_address(&self) -> Result<Box<str>, CallerError> {
         let addresses = self.addresses().await?;
-        let turn = self.turn.get();
-        self.turn.set(turn + 1);
-        Ok(addresses[turn % addresses.len()].clone())
+        let index = self.next_index.get();
+        self.next_index.set(index + 1);
+        Ok(addresses[index % addresses.len()].clone())
     }
 
-    fn forget_addresses(&self) {
-        self.keep_until.set(None);
+    fn expire_addresses(&self) {
+        self.addresses_expire_at.set(None);
     }
 
-    async fn short<T: DeserializeOwned>(
+    async fn request<T: DeserializeOwned>(
         &self,
         method: Method,
         address: &str,
         path: &str,
         body: Bytes,
     ) -> Result<T, HttpError> {
-        let exchange = self.http.exchange(method, address, path, body, SHORT_TIMEOUT);
+        let exchange = self.http.exchange(method, address, path, body, REQUEST_TIMEOUT);
         let answer = exchange.await?;
         serde_json::from_slice(&answer)
             .map_err(|error| HttpError::Lost { message: error.to_string().into() })
     }
 
-    /// Repeats a short request at one instance after the other until `limit` is over.
-    async fn insist<T: DeserializeOwned>(
+    /// Retries a request, rotating over the instances, until it succeeds, is refused for good or
+    /// `time_limit` has passed.
+    async fn request_with_retries<T: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
         body: Bytes,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Result<T, CallerError> {
-        let end = Instant::now() + limit;
+        let deadline = Instant::now() + time_limit;
         loop {
-            let message: Box<str> = match self.address().await {
+            let message: Box<str> = match self.next_address().await {
                 Ok(address) => {
-                    match self.short(method.clone(), &address, path, body.clone()).await {
+                    match self.request(method.clone(), &address, path, body.clone()).await {
                         Ok(answer) => return Ok(answer),
                         Err(error) => {
                             if let Some(refusal) = final_refusal(&error) {
                                 return Err(CallerError::Refused(refusal));
                             }
-                            self.forget_addresses();
+                            self.expire_addresses();
                             error.to_string().into()
                         }
                     }
                 }
                 Err(error) => error.to_string().into(),
             };
-            if Instant::now() >= end {
+            if Instant::now() >= deadline {
                 return Err(CallerError::Unreachable { message });
             }
-            sleep(RETRY).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Starts a program; the same key again gives the same program at the same instance.
+    /// A repeated start key returns the same program, at the same instance.
     pub async fn start_program(
         &self,
         workspace: &str,
         definition: &str,
         start_key: Option<Box<str>>,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Result<Box<str>, CallerError> {
         let body = StartBody {
             workspace: workspace.into(),
@@ -169,45 +166,50 @@
             parent: None,
         };
         let body = serde_json::to_vec(&body).expect("starts serialize").into();
-        let started: StartedBody = self.insist(Method::POST, "/v1/programs", body, limit).await?;
+        let started: StartedBody =
+            self.request_with_retries(Method::POST, "/v1/programs", body, time_limit).await?;
         Ok(started.program)
     }
 
-    /// Ends a program.
-    pub async fn end_program(&self, program: &str, limit: Duration) -> Result<(), CallerError> {
+    pub async fn end_program(
+        &self,
+        program: &str,
+        time_limit: Duration,
+    ) -> Result<(), CallerError> {
         let path = format!("/v1/programs/{program}");
-        let _: serde_json::Value = self.insist(Method::DELETE, &path, Bytes::new(), limit).await?;
+        let _: serde_json::Value =
+            self.request_with_retries(Method::DELETE, &path, Bytes::new(), time_limit).await?;
         Ok(())
     }
 
-    /// A program's state and history as JSON.
     pub async fn show_program(
         &self,
         program: &str,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Result<serde_json::Value, CallerError> {
         let path = format!("/v1/programs/{program}");
-        self.insist(Method::GET, &path, Bytes::new(), limit).await
+        self.request_with_retries(Method::GET, &path, Bytes::new(), time_limit).await
     }
 
-    /// Runs a call to its final outcome, over as many connections and instances as it takes.
+    /// Follows a call to its final outcome over any number of connections and instances.
     ///
-    /// Refusals and unknown outcomes that allow it are tried again with the same request id until
-    /// `limit` is over.
+    /// Retryable refusals and unknown outcomes are submitted again with the same request id until
+    /// `time_limit` has passed.
     pub async fn call(
         &self,
         program: &str,
         call: &ClientCall,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Result<CallReport, CallerError> {
         let started = Instant::now();
         let mut progress = CallProgress::default();
         let mut retries = 0;
         loop {
-            let last = match self.attempt(program, call, &mut progress, started).await {
+            let last_error = match self.attempt(program, call, &mut progress, started).await {
                 Ok(outcome) => {
-                    let again = retry_after(&outcome);
-                    let Some(wait) = again.filter(|wait| started.elapsed() + *wait < limit) else {
+                    let delay = retry_delay(&outcome);
+                    let Some(delay) = delay.filter(|delay| started.elapsed() + *delay < time_limit)
+                    else {
                         return Ok(CallReport {
                             outcome,
                             streamed: progress.text.into(),
@@ -217,18 +219,18 @@
                             retries,
                         });
                     };
-                    sleep(wait).await;
+                    sleep(delay).await;
                     None
                 }
                 Err(error) => {
-                    self.forget_addresses();
-                    sleep(RETRY).await;
+                    self.expire_addresses();
+                    sleep(RETRY_DELAY).await;
                     Some(error)
                 }
             };
             retries += 1;
-            if started.elapsed() >= limit {
-                let message = last.map_or("the time is over".into(), |error| error.to_string());
+            if started.elapsed() >= time_limit {
+                let message = last_error.map_or("timed out".into(), |error| error.to_string());
                 return Err(CallerError::Unreachable { message: message.into() });
             }
         }
@@ -242,7 +244,7 @@
         started: Instant,
     ) -> Result<CallOutcome, HttpError> {
         let address = self
-            .address()
+            .next_address()
             .await
             .map_err(|error| HttpError::Lost { message: error.to_string().into() })?;
         let body = CallBody {
@@ -255,17 +257,17 @@
         let body = serde_json::to_vec(&body).expect("calls serialize").into();
         let path = format!("/v1/programs/{program}/calls");
         let opening = self.http.open(Method::POST, &address, &path, body, false);
-        let opened = timeout(STREAM_STALL, opening).await;
-        let chunks = match opened.unwrap_or_else(|_| Err(stalled())) {
+        let opened = timeout(STREAM_STALL_TIMEOUT, opening).await;
+        let chunks = match opened.unwrap_or_else(|_| Err(stall_error())) {
             Ok(chunks) => chunks,
-            Err(error) => return refusal(&error).map(CallOutcome::NotRun).ok_or(error),
+            Err(error) => return parse_refusal(&error).map(CallOutcome::NotRun).ok_or(error),
         };
-        // The answer is sent again from its start, so what came before is dropped.
+        // Each stream sends the answer from its start.
         progress.text.clear();
         let mut lines = LineReader::new(chunks);
         loop {
-            let next = timeout(STREAM_STALL, lines.next::<CallEvent>()).await;
-            match next.unwrap_or_else(|_| Err(stalled()))? {
+            let next = timeout(STREAM_STALL_TIMEOUT, lines.next::<CallEvent>()).await;
+            match next.unwrap_or_else(|_| Err(stall_error()))? {
                 CallEvent::Tokens { text, .. } => {
                     progress.first_token.get_or_insert(started.elapsed());
                     progress.last_token = Some(started.elapsed());
@@ -285,25 +287,25 @@
     last_token: Option<Duration>,
 }
 
-fn stalled() -> HttpError {
+fn stall_error() -> HttpError {
     HttpError::Lost { message: "the stream has stalled".into() }
 }
 
-fn refusal(error: &HttpError) -> Option<CallRefusal> {
+fn parse_refusal(error: &HttpError) -> Option<CallRefusal> {
     let HttpError::Status { message, .. } = error else { return None };
     serde_json::from_str(message).ok()
 }
 
-/// A refusal that asking again cannot change.
+/// Returns refusals that a retry cannot change.
 fn final_refusal(error: &HttpError) -> Option<CallRefusal> {
-    refusal(error).filter(|refusal| refusal.retry_after.is_none())
+    parse_refusal(error).filter(|refusal| refusal.retry_after.is_none())
 }
 
-/// When to submit a call again, if its outcome leaves that open.
-fn retry_after(outcome: &CallOutcome) -> Option<Duration> {
+/// Returns `None` for outcomes that are final.
+fn retry_delay(outcome: &CallOutcome) -> Option<Duration> {
     match outcome {
         CallOutcome::NotRun(refusal) => refusal.retry_after,
-        CallOutcome::Unknown(UnknownCall { retryable: true, .. }) => Some(RETRY),
+        CallOutcome::Unknown(UnknownCall { retryable: true, .. }) => Some(RETRY_DELAY),
         CallOutcome::Unknown(_) | CallOutcome::Answered(_) => None,
     }
 }
