--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -124,7 +124,7 @@
         Duration::from_secs(self.checkpoint_seconds.into())
     }
 
-    pub fn budget_idle(&self) -> Duration {
+    pub fn budget_idle_timeout(&self) -> Duration {
         Duration::from_millis(self.budget_idle_ms)
     }
 
--- a/src/node/calls/model.rs
+++ b/src/node/calls/model.rs
@@ -216,7 +216,7 @@
                 }
                 ReserveOutcome::Scarce => {
                     // Two reviews pass at most before a grant that is idle elsewhere is back.
-                    let wait = 2 * self.node.settings.limits.budget_idle();
+                    let wait = 2 * self.node.settings.limits.budget_idle_timeout();
                     return Err(CallRefusal::retry(RefusalReason::BudgetExhausted, wait));
                 }
                 ReserveOutcome::Draw => {
--- a/src/node/grants.rs
+++ b/src/node/grants.rs
@@ -35,7 +35,7 @@
     pub(crate) fn spawn_grant_review(self: Rc<Self>) {
         actix_rt::spawn(async move {
             while !self.is_stopped() {
-                sleep(self.settings.limits.budget_idle()).await;
+                sleep(self.settings.limits.budget_idle_timeout()).await;
                 self.ledger.borrow_mut().schedule_returns();
                 if self.ledger.borrow().needs_commit() {
                     self.journal.wake();
