--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -140,7 +140,7 @@
         Duration::from_millis(self.call_deadline_ms)
     }
 
-    pub fn stream_stall(&self) -> Duration {
+    pub fn stream_stall_timeout(&self) -> Duration {
         Duration::from_millis(self.stream_stall_ms)
     }
 
--- a/src/node/calls/model.rs
+++ b/src/node/calls/model.rs
@@ -243,7 +243,7 @@
             max_tokens: self.max_tokens,
             resume_at: self.received,
         };
-        let stall = self.node.settings.limits.stream_stall();
+        let stall = self.node.settings.limits.stream_stall_timeout();
         let opening = self.node.engines.generate(permit.address(), &request);
         let mut stream = match timeout(stall, opening).await {
             Ok(Ok(stream)) => stream,
