--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -144,7 +144,7 @@
         Duration::from_millis(self.stream_stall_ms)
     }
 
-    pub fn config_bound(&self) -> Duration {
+    pub fn max_config_age(&self) -> Duration {
         Duration::from_millis(self.config_bound_ms)
     }
 
--- a/src/node/calls/submit.rs
+++ b/src/node/calls/submit.rs
@@ -242,7 +242,7 @@
     /// longer than an accepted change takes to be in force.
     pub(crate) fn check_workspace(&self, workspace: &str) -> Result<(), CallRefusal> {
         let config = self.config.borrow();
-        if !config.is_current(Instant::now(), self.settings.limits.config_bound()) {
+        if !config.is_current(Instant::now(), self.settings.limits.max_config_age()) {
             return Err(CallRefusal::retry(RefusalReason::ConfigStale, STALE_RETRY));
         }
         if config.workspace(workspace).is_none_or(|found| found.value.retired) {
--- a/src/node/operators/server.rs
+++ b/src/node/operators/server.rs
@@ -82,7 +82,7 @@
         status.set_instance(&**node.instance());
         let config = node.config.borrow();
         status.set_config_version(config.version());
-        let bound = node.settings.limits.config_bound();
+        let bound = node.settings.limits.max_config_age();
         status.set_current(config.is_current(Instant::now(), bound));
         status.set_draining(node.draining.get());
         Ok(())
