--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -156,7 +156,7 @@
         Duration::from_secs(self.retention_seconds.into())
     }
 
-    pub fn store_bound(&self) -> Duration {
+    pub fn store_outage_timeout(&self) -> Duration {
         Duration::from_millis(self.store_bound_ms)
     }
 
--- a/src/node/calls/hold.rs
+++ b/src/node/calls/hold.rs
@@ -24,7 +24,7 @@
     /// run and when to return; the wait grows with the outage, so that they do not crowd.
     pub(crate) fn check_store(&self) -> Result<(), CallRefusal> {
         let Some(failing) = self.journal.failing_for() else { return Ok(()) };
-        if failing < self.settings.limits.store_bound() {
+        if failing < self.settings.limits.store_outage_timeout() {
             return Ok(());
         }
         let wait = (failing / 2).clamp(LEAST_RETRY, MOST_RETRY);
