--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -160,7 +160,7 @@
         Duration::from_millis(self.store_bound_ms)
     }
 
-    pub fn commit_hold(&self) -> Duration {
+    pub fn commit_timeout(&self) -> Duration {
         Duration::from_millis(self.commit_hold_ms)
     }
 
--- a/src/node/calls/hold.rs
+++ b/src/node/calls/hold.rs
@@ -45,7 +45,7 @@
         let append = self.journal.append(context.epoch, records);
         tokio::pin!(append);
         loop {
-            match timeout(self.settings.limits.commit_hold(), &mut append).await {
+            match timeout(self.settings.limits.commit_timeout(), &mut append).await {
                 Ok(result) => return result,
                 Err(_) => self.dismiss_followers(context),
             }
--- a/src/node/programs.rs
+++ b/src/node/programs.rs
@@ -64,7 +64,7 @@
         // A task of its own: the caller may give up, and later starts with the key wait for this.
         let node = self.clone();
         let starting = actix_rt::spawn(async move { node.write_start(request).await });
-        match timeout(self.settings.limits.commit_hold(), starting).await {
+        match timeout(self.settings.limits.commit_timeout(), starting).await {
             Ok(Ok(started)) => started,
             Ok(Err(_)) | Err(_) => Err(RequestFailure::unknown(OWNER_LOST)),
         }
@@ -202,7 +202,7 @@
         // A task of its own: the caller may give up, and calls wait for the end of this.
         let node = self.clone();
         let ending = actix_rt::spawn(async move { node.write_end(program, reason).await });
-        match timeout(self.settings.limits.commit_hold(), ending).await {
+        match timeout(self.settings.limits.commit_timeout(), ending).await {
             Ok(Ok(ended)) => ended,
             Ok(Err(_)) | Err(_) => Err(RequestFailure::unknown(OWNER_LOST)),
         }
