--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -128,7 +128,7 @@
         Duration::from_millis(self.budget_idle_ms)
     }
 
-    pub fn clock_error(&self) -> Duration {
+    pub fn max_clock_error(&self) -> Duration {
         Duration::from_millis(self.clock_error_ms)
     }
 
--- a/src/node/audit.rs
+++ b/src/node/audit.rs
@@ -159,7 +159,7 @@
         costs: &CostsByEngine,
     ) -> Option<TokensByWorkspace> {
         let since = Duration::from_millis(row.open_since_millis);
-        let window = self.wall().saturating_sub(since) + self.settings.limits.clock_error();
+        let window = self.wall().saturating_sub(since) + self.settings.limits.max_clock_error();
         let roster = self.roster.borrow();
         if self.uptime() < window || roster.lost_engine_within(window) {
             return None;
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -76,7 +76,7 @@
         LeaseSettings {
             term: LEASE_TERM,
             order_timeout: ORDER_TIMEOUT,
-            clock_error: self.settings.limits.clock_error(),
+            clock_error: self.settings.limits.max_clock_error(),
         }
     }
 
