--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -132,7 +132,7 @@
         Duration::from_millis(self.clock_error_ms)
     }
 
-    pub fn engine_load_pause(&self) -> Duration {
+    pub fn engine_load_delay(&self) -> Duration {
         Duration::from_millis(self.engine_load_pause_ms)
     }
 
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -168,7 +168,7 @@
         self.event("engine_ordered").upstream(&engine.id).detail(detail).log();
         if matches!(order.order, EngineOrder::Load(_)) {
             // The weight store is rate limited, and loads that it holds up keep engines away.
-            sleep(self.settings.limits.engine_load_pause()).await;
+            sleep(self.settings.limits.engine_load_delay()).await;
         }
     }
 
