--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -148,7 +148,7 @@
         Duration::from_millis(self.config_bound_ms)
     }
 
-    pub fn address_keep(&self) -> Duration {
+    pub fn address_lifetime(&self) -> Duration {
         Duration::from_secs(self.address_keep_seconds.into())
     }
 
--- a/src/node/shutdown.rs
+++ b/src/node/shutdown.rs
@@ -31,7 +31,7 @@
         let end = Instant::now() + limit;
         self.event("instance_leaving").log();
         self.draining.set(true);
-        let named_until = Instant::now() + NAMED_ON + self.settings.limits.address_keep();
+        let named_until = Instant::now() + NAMED_ON + self.settings.limits.address_lifetime();
         let actions = self.members.borrow_mut().leave(Instant::now());
         self.perform(actions);
         let handed_over = timeout_at(end, self.hand_over()).await.is_ok();
