--- a/src/node/calls/durability.rs
+++ b/src/node/calls/durability.rs
@@ -23,7 +23,7 @@
     /// outage to spread the retries.
     pub(crate) fn check_store(&self) -> Result<(), CallRefusal> {
         let Some(outage) = self.journal.outage_duration() else { return Ok(()) };
-        if outage < self.settings.limits.store_bound() {
+        if outage < self.settings.limits.store_outage_timeout() {
             return Ok(());
         }
         let delay = (outage / 2).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
@@ -42,7 +42,7 @@
         let append = self.journal.append(context.incarnation, records);
         tokio::pin!(append);
         loop {
-            match timeout(self.settings.limits.commit_hold(), &mut append).await {
+            match timeout(self.settings.limits.commit_timeout(), &mut append).await {
                 Ok(result) => return result,
                 Err(_) => self.detach_followers(context),
             }
--- a/src/node/calls/model.rs
+++ b/src/node/calls/model.rs
@@ -214,7 +214,7 @@
                 }
                 ReserveOutcome::Scarce => {
                     // An idle grant of another instance is returned within two reviews.
-                    let wait = 2 * self.node.settings.limits.budget_idle();
+                    let wait = 2 * self.node.settings.limits.budget_idle_timeout();
                     return Err(CallRefusal::retry(RefusalReason::BudgetExhausted, wait));
                 }
                 ReserveOutcome::Draw => {
@@ -245,7 +245,7 @@
             max_tokens: self.max_tokens,
             resume_at: self.received_tokens,
         };
-        let stall = self.node.settings.limits.stream_stall();
+        let stall = self.node.settings.limits.stream_stall_timeout();
         let opening = self.node.engines.generate(permit.address(), &request);
         let mut stream = match timeout(stall, opening).await {
             Ok(Ok(stream)) => stream,
--- a/src/node/calls/submit.rs
+++ b/src/node/calls/submit.rs
@@ -239,7 +239,7 @@
     /// call waits for a slot.
     pub(crate) fn check_workspace(&self, workspace: &str) -> Result<(), CallRefusal> {
         let config = self.config.borrow();
-        if !config.is_current(Instant::now(), self.settings.limits.config_bound()) {
+        if !config.is_current(Instant::now(), self.settings.limits.max_config_age()) {
             return Err(CallRefusal::retry(RefusalReason::ConfigStale, STALE_RETRY_DELAY));
         }
         if config.workspace(workspace).is_none_or(|found| found.value.retired) {
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -76,7 +76,7 @@
         LeaseSettings {
             term: LEASE_TERM,
             order_timeout: ORDER_TIMEOUT,
-            clock_error: self.settings.limits.clock_error(),
+            clock_error: self.settings.limits.max_clock_error(),
         }
     }
 
@@ -165,7 +165,7 @@
         self.event("engine_ordered").upstream(&engine.id).detail(detail).log();
         if matches!(order.order, EngineOrder::Load(_)) {
             // Loads delayed by the weight store's rate limit keep engines unavailable.
-            sleep(self.settings.limits.engine_load_pause()).await;
+            sleep(self.settings.limits.engine_load_delay()).await;
         }
     }
 
--- a/src/node/programs.rs
+++ b/src/node/programs.rs
@@ -62,7 +62,7 @@
         // Spawned, so that it completes even if the caller goes away: others wait for the start key.
         let node = self.clone();
         let starting = actix_rt::spawn(async move { node.write_start(request).await });
-        match timeout(self.settings.limits.commit_hold(), starting).await {
+        match timeout(self.settings.limits.commit_timeout(), starting).await {
             Ok(Ok(started)) => started,
             Ok(Err(_)) | Err(_) => Err(RequestFailure::unknown(OWNER_DID_NOT_ANSWER)),
         }
@@ -199,7 +199,7 @@
         // Spawned, so that it completes even if the caller goes away: calls wait for it.
         let node = self.clone();
         let ending = actix_rt::spawn(async move { node.write_end(program, reason).await });
-        match timeout(self.settings.limits.commit_hold(), ending).await {
+        match timeout(self.settings.limits.commit_timeout(), ending).await {
             Ok(Ok(ended)) => ended,
             Ok(Err(_)) | Err(_) => Err(RequestFailure::unknown(OWNER_DID_NOT_ANSWER)),
         }
--- a/src/node/shutdown.rs
+++ b/src/node/shutdown.rs
@@ -32,7 +32,7 @@
         self.event("instance_leaving").log();
         self.draining.set(true);
         let forward_until =
-            Instant::now() + LEAVE_PROPAGATION_DELAY + self.settings.limits.address_keep();
+            Instant::now() + LEAVE_PROPAGATION_DELAY + self.settings.limits.address_lifetime();
         let actions = self.members.borrow_mut().leave(Instant::now());
         self.perform(actions);
         let handed_over = timeout_at(deadline, self.hand_over_shards()).await.is_ok();
