--- a/src/node/grants.rs
+++ b/src/node/grants.rs
@@ -1,4 +1,4 @@
-//! Grants that a journal commit draws from budget rows or gives back to them.
+//! Adds budget draws and returns to the transaction of a journal commit.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -6,20 +6,21 @@
 use tokio::time::sleep;
 
 use super::instance::Node;
-use super::journal::{CONFIG_HEAD, FIRST_RETRY, MAX_RETRY, UNFENCED, budget_key, incarnation_key};
+use super::journal::{
+    CONFIG_HEAD_KEY, MAX_RETRY_DELAY, MIN_RETRY_DELAY, UNFENCED_VERSION, budget_key,
+    incarnation_key,
+};
 use super::platform::{RowKey, StoredRow, TableTransaction, parse_row};
 use crate::core::budget::{AccountRow, BudgetRow, DrawRequest};
 use crate::core::ids::{ConfigVersion, WorkspaceId};
 
-/// The part of a commit that concerns budgets.
 pub(super) struct GrantPlan {
     draws: Vec<DrawRequest>,
-    /// How the rows stand after the commit.
     rows: BTreeMap<WorkspaceId, BudgetRow>,
     account: AccountRow,
-    /// The configuration's head as it was read together with the rows.
+    /// Configuration head, read together with the budget rows.
     pub(super) head: Option<ConfigVersion>,
-    /// Whether anything has to be written.
+    /// False if a commit without records can be skipped.
     pub(super) needed: bool,
 }
 
@@ -27,7 +28,7 @@
 struct BudgetRows {
     budgets: BTreeMap<WorkspaceId, (BudgetRow, u64)>,
     head: Option<ConfigVersion>,
-    /// This incarnation has been fenced: the rows count its spending already.
+    /// This incarnation has been fenced, and the rows already include its spending.
     fenced: bool,
 }
 
@@ -35,16 +36,15 @@
     pub(crate) fn spawn_grant_review(self: Rc<Self>) {
         actix_rt::spawn(async move {
             while !self.is_stopped() {
-                sleep(self.settings.limits.budget_idle()).await;
+                sleep(self.settings.limits.budget_idle_timeout()).await;
                 self.ledger.borrow_mut().schedule_returns();
                 if self.ledger.borrow().needs_commit() {
-                    self.journal.wake();
+                    self.journal.request_commit();
                 }
             }
         });
     }
 
-    /// Decides what to draw and to return, and adds it to the commit's transaction.
     pub(super) async fn plan_grants(
         &self,
         mut transaction: TableTransaction,
@@ -65,24 +65,24 @@
             rows.insert(workspace, change.row);
             changes.push(change);
         }
-        // A fenced incarnation commits in any case, to learn of its fence. Its ledger and the row
-        // both count what it spent, so a refusal for good would be wrong.
+        // A fenced incarnation always commits and so detects its fence. Refusing draws instead
+        // would be wrong, as its ledger and the rows both count its spending.
         let needed = !changes.is_empty() || ledger.can_raise_ceiling() || found.fenced;
         let account = ledger.prepare_row(&changes, self.wall().as_millis() as u64);
         let head = found.head;
         (transaction, GrantPlan { draws, rows, account, head, needed })
     }
 
-    /// Reads the budget rows a commit may change, until the table answers.
     async fn read_budgets(&self, workspaces: &[WorkspaceId]) -> BudgetRows {
         if workspaces.is_empty() {
             return BudgetRows::default();
         }
-        let mut keys: Vec<RowKey> = vec![CONFIG_HEAD.into(), incarnation_key(self.incarnation())];
+        let mut keys: Vec<RowKey> =
+            vec![CONFIG_HEAD_KEY.into(), incarnation_key(self.incarnation())];
         keys.extend(workspaces.iter().map(|workspace| budget_key(workspace)));
         let mut found = self.read_until_answered(&keys).await.into_iter();
         let head = found.next().flatten();
-        let fenced = found.next().flatten().is_some_and(|row| row.version != UNFENCED);
+        let fenced = found.next().flatten().is_some_and(|row| row.version != UNFENCED_VERSION);
         let head = Some(head.and_then(|row| parse_row(&row).ok()).unwrap_or(0));
         let mut budgets = BTreeMap::new();
         for (workspace, row) in workspaces.iter().zip(found) {
@@ -95,7 +95,7 @@
     }
 
     async fn read_until_answered(&self, keys: &[RowKey]) -> Vec<Option<StoredRow>> {
-        let mut retry = FIRST_RETRY;
+        let mut retry = MIN_RETRY_DELAY;
         loop {
             match self.table.read(keys).await {
                 Ok(found) => {
@@ -105,17 +105,16 @@
                 Err(_) => self.journal.set_failing(true),
             }
             sleep(retry).await;
-            retry = (retry * 2).min(MAX_RETRY);
+            retry = (retry * 2).min(MAX_RETRY_DELAY);
         }
     }
 
-    /// The commit has taken effect.
     pub(super) fn grants_committed(&self, plan: &GrantPlan) {
         let mut ledger = self.ledger.borrow_mut();
         ledger.apply_commit(&plan.account, &plan.draws, &plan.rows);
     }
 
-    /// Nothing was written because nothing could be drawn.
+    /// To be called when nothing was written because nothing could be drawn.
     pub(super) fn grants_refused(&self, plan: &GrantPlan) {
         self.ledger.borrow_mut().apply_refusal(&plan.draws, &plan.rows);
     }
--- a/src/node/journal.rs
+++ b/src/node/journal.rs
@@ -1,4 +1,5 @@
-//! Group commit: what has finished since the last write goes into the table in one transaction.
+//! Group commit of journal records: all records queued since the last commit are written to the
+//! table in one transaction.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,45 +18,39 @@
 use crate::core::ids::{Incarnation, ObjectName, ShardId, shard_of};
 use crate::core::limits::RatePacer;
 
-/// Why a record could not be made durable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum JournalError {
-    /// Another instance has fenced this incarnation; nothing of it is written any more.
+    /// Another instance has fenced this incarnation; the records were not written.
     #[display("this incarnation has been fenced")]
     Fenced,
-    /// As above, and an earlier attempt to write the records had lost its reply: they may have
-    /// been written, read by the next owner and deleted again since.
-    #[display("this incarnation has been fenced while a write of it was open")]
-    Open,
+    /// As `Fenced`, but the reply to an earlier attempt was lost: the records may have been
+    /// written, and even loaded and trimmed by the next owner since.
+    #[display("this incarnation has been fenced before the result of a write was known")]
+    Indeterminate,
 }
 
 type Waiter = oneshot::Sender<Result<(), JournalError>>;
 
-/// The queue before the journal and what is known of its tail.
 #[derive(Debug, Default)]
 pub(crate) struct JournalWriter {
     queue: RefCell<Vec<JournalRecord>>,
     waiters: RefCell<Vec<Waiter>>,
     wake: Notify,
     committed: Notify,
-    /// The incarnation whose journal this is.
     epoch: Cell<Incarnation>,
     next_sequence: Cell<u64>,
-    /// Shards with records in the batch that is being written.
-    writing: RefCell<BTreeSet<ShardId>>,
-    /// Objects with the records of large batches, by batch.
+    in_flight_shards: RefCell<BTreeSet<ShardId>>,
+    /// Objects that hold the records of large batches, by sequence number.
     objects: RefCell<BTreeMap<u64, ObjectName>>,
-    /// Set while the table has not answered the last attempt.
     failing_since: Cell<Option<Instant>>,
-    /// Set while the table has not answered the last regular read. An instance without calls
-    /// writes nothing that could fail.
-    unread_since: Cell<Option<Instant>>,
-    /// This incarnation is known to be fenced, though no batch of it has met the fence yet.
+    /// Covers regular reads: an idle instance detects an outage by these alone.
+    read_failing_since: Cell<Option<Instant>>,
+    /// Set when this incarnation is known to be fenced, even if no commit has failed on it yet.
     fenced: Cell<bool>,
     last_commit: Cell<Option<Instant>>,
 }
 
-/// Key of a journal batch. Zero-padded, so that key order is batch order.
+/// Zero-padded, so that key order is batch order.
 pub(crate) fn batch_key(incarnation: Incarnation, sequence: u64) -> RowKey {
     format!("journal/{incarnation:012}/{sequence:012}").into()
 }
@@ -73,34 +68,31 @@
 }
 
 pub(crate) const ACCOUNT_PREFIX: &str = "account/";
-/// Rows of what fenced incarnations may have spent, until the engines have been asked.
-pub(crate) const STRANDED_PREFIX: &str = "stranded/";
+pub(crate) const UNRESOLVED_PREFIX: &str = "stranded/";
 
-pub(crate) fn stranded_key(incarnation: Incarnation) -> RowKey {
-    format!("{STRANDED_PREFIX}{incarnation:012}").into()
+pub(crate) fn unresolved_key(incarnation: Incarnation) -> RowKey {
+    format!("{UNRESOLVED_PREFIX}{incarnation:012}").into()
 }
 
 pub(crate) fn budget_key(workspace: &str) -> RowKey {
     format!("budget/{workspace}").into()
 }
 
-/// Row that holds the number of the last configuration change.
-pub(crate) const CONFIG_HEAD: &str = "config/head";
+/// Row with the version of the last configuration change.
+pub(crate) const CONFIG_HEAD_KEY: &str = "config/head";
 
-/// Version an incarnation's row has until it is fenced.
-pub(crate) const UNFENCED: u64 = 1;
+/// An incarnation's row is written once at its start; any later version means it is fenced.
+pub(crate) const UNFENCED_VERSION: u64 = 1;
 
-/// Commits that may follow at once before they are paced; under steady load they are.
-const COMMIT_BURST: u32 = 8;
-pub(super) const FIRST_RETRY: Duration = Duration::from_millis(50);
-pub(super) const MAX_RETRY: Duration = Duration::from_secs(1);
+const MAX_COMMIT_BURST: u32 = 8;
+pub(super) const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+pub(super) const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 impl JournalWriter {
-    /// Adds records and waits until they are durable.
-    ///
-    /// `epoch` is the incarnation that the caller's knowledge stems from. A call that began before
-    /// a fence must not write into the journal of the incarnation after it: its program may have
-    /// moved on at another owner, and its turn would stand twice in the history.
+    /// Returns when the records are durable.
+    /// `epoch` is the incarnation under which the caller read its program. A call that began before
+    /// a fence must not write to the next incarnation's journal: another owner may have continued
+    /// the program, and the history would contain the turn twice.
     pub(crate) async fn append(
         &self,
         epoch: Incarnation,
@@ -116,40 +108,38 @@
         done.await.unwrap_or(Err(JournalError::Fenced))
     }
 
-    /// Asks for a commit although no record waits, for instance to draw budget.
-    pub(crate) fn wake(&self) {
+    /// Requests a commit although no record is queued, for instance to draw budget.
+    pub(crate) fn request_commit(&self) {
         self.wake.notify_one();
     }
 
-    /// Completes after the next commit.
     pub(crate) fn committed(&self) -> Notified<'_> {
         self.committed.notified()
     }
 
-    /// Number of the first batch that the programs in memory do not show yet.
+    /// Number of the first batch that is not yet applied to the programs in memory.
     pub(crate) fn next_sequence(&self) -> u64 {
         self.next_sequence.get()
     }
 
-    /// Whether nothing of this shard waits or is being written.
+    /// True if no record of the shard is queued or in flight.
     pub(crate) fn is_idle(&self, shard: ShardId) -> bool {
         let waiting = |record: &JournalRecord| shard_of(record.program()) == shard;
-        !self.queue.borrow().iter().any(waiting) && !self.writing.borrow().contains(&shard)
+        !self.queue.borrow().iter().any(waiting) && !self.in_flight_shards.borrow().contains(&shard)
     }
 
-    /// How long the table has not answered.
-    pub(crate) fn failing_for(&self) -> Option<Duration> {
-        let since = [self.failing_since.get(), self.unread_since.get()];
+    /// Time since the table stopped answering; `None` while it answers.
+    pub(crate) fn outage_duration(&self) -> Option<Duration> {
+        let since = [self.failing_since.get(), self.read_failing_since.get()];
         since.into_iter().flatten().min().map(|since| since.elapsed())
     }
 
-    /// Notes whether a regular read went unanswered.
-    pub(crate) fn set_unread(&self, failing: bool) {
-        let since = self.unread_since.get().unwrap_or_else(Instant::now);
-        self.unread_since.set(failing.then_some(since));
+    pub(crate) fn set_read_failing(&self, failing: bool) {
+        let since = self.read_failing_since.get().unwrap_or_else(Instant::now);
+        self.read_failing_since.set(failing.then_some(since));
     }
 
-    /// When a batch was last written; this incarnation was not fenced then.
+    /// Time of the last committed batch; this incarnation was not fenced then.
     pub(crate) fn last_commit(&self) -> Option<Instant> {
         self.last_commit.get()
     }
@@ -172,12 +162,11 @@
             let _ = waiter.send(Err(JournalError::Fenced));
         }
         self.next_sequence.set(0);
-        self.writing.borrow_mut().clear();
+        self.in_flight_shards.borrow_mut().clear();
         self.objects.borrow_mut().clear();
         self.committed.notify_waiters();
     }
 
-    /// Takes the objects of the batches below `until`, whose rows are gone.
     pub(super) fn take_objects(&self, until: u64) -> Vec<ObjectName> {
         let mut objects = self.objects.borrow_mut();
         let kept = objects.split_off(&until);
@@ -190,32 +179,31 @@
     }
 }
 
-/// One commit, built once and repeated to the letter until its fate is known.
+/// Retried unchanged until its result is known.
 struct JournalCommit {
     transaction: TableTransaction,
     grants: GrantPlan,
-    built: Instant,
+    built_at: Instant,
 }
 
-enum CommitEnd {
+enum CommitOutcome {
     Committed,
     Fenced(JournalError),
-    /// A row it draws on has changed: build it anew.
+    /// A row that the transaction checks has changed; it must be rebuilt.
     Outdated,
 }
 
-/// What became of a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum BatchEnd {
+enum BatchOutcome {
     Written,
-    /// It held no record and could change no grant.
-    Unneeded,
+    /// The batch held no records and changed no grants.
+    Skipped,
 }
 
-/// Writes the journal until the process ends; a fenced incarnation is replaced by a new one.
+/// Commits batches until the process stops; a fenced incarnation is replaced by a new one.
 pub(crate) async fn run_journal(node: Rc<Node>) {
     let interval = node.settings.limits.commit_interval();
-    let mut pacer = RatePacer::new(interval, COMMIT_BURST, Instant::now());
+    let mut pacer = RatePacer::new(interval, MAX_COMMIT_BURST, Instant::now());
     loop {
         while !node.journal.is_fenced()
             && node.journal.queue.borrow().is_empty()
@@ -239,11 +227,11 @@
 async fn commit_batch(node: &Rc<Node>) -> Result<(), JournalError> {
     let journal = &node.journal;
     let records = std::mem::take(&mut *journal.queue.borrow_mut());
-    *journal.writing.borrow_mut() =
+    *journal.in_flight_shards.borrow_mut() =
         records.iter().map(|record| shard_of(record.program())).collect();
     let waiters = std::mem::take(&mut *journal.waiters.borrow_mut());
     let result = commit_records(node, &records).await;
-    if result == Ok(BatchEnd::Written) {
+    if result == Ok(BatchOutcome::Written) {
         let mut book = node.book.borrow_mut();
         for record in &records {
             book.apply(record);
@@ -251,7 +239,7 @@
         journal.next_sequence.set(journal.next_sequence.get() + 1);
         journal.last_commit.set(Some(Instant::now()));
     }
-    journal.writing.borrow_mut().clear();
+    journal.in_flight_shards.borrow_mut().clear();
     for waiter in waiters {
         let _ = waiter.send(result.map(|_| ()));
     }
@@ -262,39 +250,39 @@
 async fn commit_records(
     node: &Rc<Node>,
     records: &[JournalRecord],
-) -> Result<BatchEnd, JournalError> {
+) -> Result<BatchOutcome, JournalError> {
     loop {
         let commit = build_commit(node, records).await;
         if records.is_empty() && !commit.grants.needed {
-            // Calls of a spent workspace ask its row again and again; only reads pay for that.
+            // Calls of a workspace without budget retry often; they must not cause writes.
             node.grants_refused(&commit.grants);
-            return Ok(BatchEnd::Unneeded);
+            return Ok(BatchOutcome::Skipped);
         }
-        match commit_until_known(node, &commit).await {
-            CommitEnd::Committed => {
+        match commit_with_retries(node, &commit).await {
+            CommitOutcome::Committed => {
                 node.grants_committed(&commit.grants);
                 if let Some(head) = commit.grants.head {
-                    node.saw_config_head(head, commit.built);
+                    node.observe_config_head(head, commit.built_at);
                 }
-                return Ok(BatchEnd::Written);
+                return Ok(BatchOutcome::Written);
             }
-            CommitEnd::Fenced(error) => return Err(error),
-            // Others draw on the same budget: writing again at once would only crowd the table.
-            CommitEnd::Outdated => sleep(node.settings.limits.commit_interval()).await,
+            CommitOutcome::Fenced(error) => return Err(error),
+            // Another instance drew on the same budget; an immediate retry would add contention.
+            CommitOutcome::Outdated => sleep(node.settings.limits.commit_interval()).await,
         }
     }
 }
 
 async fn build_commit(node: &Rc<Node>, records: &[JournalRecord]) -> JournalCommit {
-    let built = Instant::now();
+    let built_at = Instant::now();
     let incarnation = node.incarnation();
     let sequence = node.journal.next_sequence();
     let key = batch_key(incarnation, sequence);
     let transaction = TableTransaction::default()
         .check(key.clone(), 0)
-        .check(incarnation_key(incarnation), UNFENCED)
-        // Every batch writes the account's row once. A duplicate of an old attempt that comes late,
-        // after its batch was trimmed, would else put back a lower ceiling than was spent.
+        .check(incarnation_key(incarnation), UNFENCED_VERSION)
+        // Each batch writes the account's row once, so its version is the sequence number. Without
+        // this check, a delayed duplicate of a trimmed batch could restore an outdated account.
         .check(account_key(incarnation), sequence);
     let (transaction, grants) = node.plan_grants(transaction).await;
     let batch = node.batch_row(records).await;
@@ -302,46 +290,44 @@
         node.journal.objects.borrow_mut().insert(sequence, object.clone());
     }
     let transaction = transaction.put(key, &batch).put(account_key(incarnation), grants.account());
-    JournalCommit { transaction, grants, built }
+    JournalCommit { transaction, grants, built_at }
 }
 
-/// Repeats one transaction until it is known whether it took effect.
-///
-/// A lost reply leaves open whether the write happened. Only this incarnation writes the batch's
-/// row, so a conflict on it means that an earlier attempt succeeded; a conflict on any other row
-/// dooms all attempts alike, a delayed one included, because versions only rise.
-async fn commit_until_known(node: &Rc<Node>, commit: &JournalCommit) -> CommitEnd {
+/// Only this incarnation writes the batch's row, so a conflict on it means that an earlier attempt
+/// succeeded. A conflict on any other row means that no attempt can succeed, not even a delayed
+/// one, because versions only increase.
+async fn commit_with_retries(node: &Rc<Node>, commit: &JournalCommit) -> CommitOutcome {
     let incarnation = node.incarnation();
     let batch = batch_key(incarnation, node.journal.next_sequence());
-    let mut retry = FIRST_RETRY;
+    let mut retry = MIN_RETRY_DELAY;
     let mut fenced = JournalError::Fenced;
     loop {
-        node.metrics.store_write();
+        node.metrics.record_store_write();
         let reply = node.table.commit(&commit.transaction).await;
-        // Any answer shows that the table works, a fence included: calls would be refused for
-        // good by an instance that has become another incarnation since.
+        // Any reply shows that the table is reachable, a conflict on the fence included: else the
+        // next incarnation would start in a failing state and refuse all calls.
         node.journal.set_failing(reply.is_err());
         match reply {
             Ok(CommitReply::Committed) => break,
             Ok(reply) if reply.conflicts_on(&batch) => break,
             Ok(reply) if reply.conflicts_on(&incarnation_key(incarnation)) => {
-                return CommitEnd::Fenced(fenced);
+                return CommitOutcome::Fenced(fenced);
             }
-            Ok(_) => return CommitEnd::Outdated,
+            Ok(_) => return CommitOutcome::Outdated,
             Err(error) => {
-                if is_open(&error) {
-                    fenced = JournalError::Open;
+                if is_indeterminate(&error) {
+                    fenced = JournalError::Indeterminate;
                 }
                 node.event("commit_retried").detail(error.to_string()).log();
             }
         }
         sleep(retry).await;
-        retry = (retry * 2).min(MAX_RETRY);
+        retry = (retry * 2).min(MAX_RETRY_DELAY);
     }
-    CommitEnd::Committed
+    CommitOutcome::Committed
 }
 
-/// Whether a write failed for a reason that leaves its effect open.
-pub(crate) fn is_open(error: &StoreError) -> bool {
+/// True if the failed write may have taken effect.
+pub(crate) fn is_indeterminate(error: &StoreError) -> bool {
     matches!(error, StoreError::ReplyLost | StoreError::Malformed { .. })
 }
--- a/src/node/metrics.rs
+++ b/src/node/metrics.rs
@@ -1,4 +1,4 @@
-//! What is measured, as OpenTelemetry instruments, and its exposition as Prometheus text.
+//! OpenTelemetry instruments of an instance, exposed in the Prometheus text format.
 
 use std::time::Duration;
 
@@ -10,11 +10,10 @@
 use crate::core::outcome::{CallOutcome, TokenUsage};
 use crate::util::meter::MeterExposition;
 
-/// Upper ends of the latency buckets, in seconds: a voice turn takes one, a renewal minutes.
-const LATENCY_BOUNDARIES: [f64; 14] =
+/// Wide enough for both short voice turns and renewals, which take minutes.
+const LATENCY_BOUNDARIES_SECONDS: [f64; 14] =
     [0.05, 0.1, 0.2, 0.35, 0.5, 1.0, 2.0, 4.0, 8.0, 15.0, 30.0, 60.0, 300.0, 1800.0];
 
-/// The instruments of one instance.
 #[derive(Debug)]
 pub(crate) struct NodeMetrics {
     exposition: MeterExposition,
@@ -34,14 +33,14 @@
     store_outage_seconds: Gauge<f64>,
 }
 
-/// What is read off the node when its metrics are asked for.
+/// Gauge values read from the node on each scrape.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct NodeSample {
     pub(crate) drawn: Tokens,
     pub(crate) spent: Tokens,
     pub(crate) programs: u64,
     pub(crate) shards: u64,
-    /// Time since the table last failed to answer a commit that still waits.
+    /// Time since the table stopped answering; zero while it answers.
     pub(crate) store_outage: Duration,
 }
 
@@ -51,7 +50,7 @@
         let meter = exposition.meter("merlinsaddle");
         let counter = |name: &'static str| meter.u64_counter(name).build();
         let histogram = |name: &'static str| {
-            meter.f64_histogram(name).with_boundaries(LATENCY_BOUNDARIES.to_vec()).build()
+            meter.f64_histogram(name).with_boundaries(LATENCY_BOUNDARIES_SECONDS.to_vec()).build()
         };
         Self {
             exposition,
@@ -72,7 +71,7 @@
         }
     }
 
-    pub(crate) fn call_finished(
+    pub(crate) fn record_call(
         &self,
         class: ServiceClass,
         outcome: &CallOutcome,
@@ -88,25 +87,25 @@
         self.calls.add(1, &[class, KeyValue::new("outcome", name)]);
     }
 
-    pub(crate) fn program_finished(&self, class: ServiceClass, elapsed: Duration) {
+    pub(crate) fn record_program(&self, class: ServiceClass, elapsed: Duration) {
         let class = KeyValue::new("class", class_name(class));
         self.program_seconds.record(elapsed.as_secs_f64(), &[class]);
     }
 
-    pub(crate) fn refused(&self, reason: &'static str) {
+    pub(crate) fn record_refusal(&self, reason: &'static str) {
         self.refusals.add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    pub(crate) fn prompt_tokens(&self, usage: TokenUsage) {
+    pub(crate) fn record_prompt_tokens(&self, usage: TokenUsage) {
         self.prompt_tokens.add(usage.prompt, &[]);
         self.cached_tokens.add(usage.cached, &[]);
     }
 
-    pub(crate) fn store_write(&self) {
+    pub(crate) fn record_store_write(&self) {
         self.store_writes.add(1, &[]);
     }
 
-    pub(crate) fn control_bytes(&self, bytes: usize) {
+    pub(crate) fn record_control_bytes(&self, bytes: usize) {
         self.control_bytes.add(bytes as u64, &[]);
     }
 
@@ -121,13 +120,12 @@
         }
     }
 
-    /// All instruments in Prometheus' text format.
     pub(crate) fn exposition(&self) -> String {
         self.exposition.text()
     }
 }
 
-/// Processor time of this process, from the kernel's accounting; absent where there is none.
+/// CPU time of this process; `None` where the kernel does not provide it.
 fn processor_seconds() -> Option<f64> {
     let text = std::fs::read_to_string("/proc/self/schedstat").ok()?;
     let nanos: f64 = text.split_whitespace().next()?.parse().ok()?;
--- a/src/node/ownership/collect.rs
+++ b/src/node/ownership/collect.rs
@@ -1,4 +1,4 @@
-//! Deletes the rows of incarnations that are over and that no shard's history needs.
+//! Deletes the rows and journals of ended incarnations once no shard needs them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,14 +6,12 @@
 use crate::core::ownership::IncarnationRow;
 use crate::node::batch::BatchRow;
 use crate::node::instance::Node;
-use crate::node::journal::{UNFENCED, incarnation_key, journal_prefix};
+use crate::node::journal::{UNFENCED_VERSION, incarnation_key, journal_prefix};
 use crate::node::platform::{StoreError, TableTransaction, parse_row, scan_all};
 
 const INCARNATION_PREFIX: &str = "incarnation/";
-/// Batches deleted in one transaction.
-const COLLECT_CHUNK: usize = 256;
+const COLLECT_PAGE_SIZE: usize = 256;
 
-/// An incarnation's row as it was read.
 struct KnownIncarnation {
     incarnation: Incarnation,
     instance: InstanceId,
@@ -21,11 +19,9 @@
 }
 
 impl Node {
-    /// Collects what this instance is responsible for, once.
-    ///
-    /// The incarnations are read before the shards: one that was fenced then can claim nothing
-    /// more, so a shard that does not name it now never will. One that is not fenced yet but was
-    /// replaced by a newer run of its instance is fenced, and collected in a later round.
+    /// The incarnations are read before the shards: a fenced one can claim no shard, so a shard
+    /// that does not refer to it after that never will. An unfenced one with a newer incarnation
+    /// of the same instance is fenced now and collected in a later round.
     pub(super) async fn collect_incarnations(&self) -> Result<(), StoreError> {
         let known = self.known_incarnations().await?;
         self.scan_shards().await?;
@@ -36,10 +32,10 @@
             *last = row.incarnation.max(*last);
         }
         for row in &known {
-            if needed.contains(&row.incarnation) || !self.collects(row.incarnation) {
+            if needed.contains(&row.incarnation) || !self.is_collector_of(row.incarnation) {
                 continue;
             }
-            if row.version != UNFENCED {
+            if row.version != UNFENCED_VERSION {
                 self.collect(row).await?;
             } else if newest[&row.instance] > row.incarnation {
                 self.fence(row.incarnation).await?;
@@ -60,7 +56,6 @@
         Ok(known)
     }
 
-    /// Incarnations that own a shard or whose journal some shard still needs, and this one.
     fn needed_incarnations(&self) -> BTreeSet<Incarnation> {
         let table = self.shards.borrow();
         let mut needed = BTreeSet::from([self.incarnation()]);
@@ -71,20 +66,19 @@
         needed
     }
 
-    /// Spreads the work; two instances that both think it is theirs do no harm.
-    fn collects(&self, incarnation: Incarnation) -> bool {
+    /// Distributes the work over the instances; collecting an incarnation twice is harmless.
+    fn is_collector_of(&self, incarnation: Incarnation) -> bool {
         let table = self.shards.borrow();
         let shard = (incarnation % u64::from(table.shards())) as ShardId;
         table.desired_owner(shard) == Some(&self.settings.instance)
     }
 
-    /// Closes the account first and deletes the incarnation's own row last, so that whoever
-    /// stops on the way leaves something to find the rest by.
+    /// Deletes the incarnation's own row last, so that an interrupted collection is resumed.
     async fn collect(&self, row: &KnownIncarnation) -> Result<(), StoreError> {
         self.close_account(row.incarnation).await?;
         loop {
             let prefix = journal_prefix(row.incarnation);
-            let batches = self.table.scan(&prefix, None, COLLECT_CHUNK).await?;
+            let batches = self.table.scan(&prefix, None, COLLECT_PAGE_SIZE).await?;
             if batches.is_empty() {
                 break;
             }
@@ -92,17 +86,17 @@
             for batch in batches {
                 let row: BatchRow = parse_row(&batch.row)?;
                 if let Some(object) = row.object() {
-                    self.metrics.store_write();
+                    self.metrics.record_store_write();
                     self.objects.delete(object).await?;
                 }
                 transaction = transaction.delete(batch.key);
             }
-            self.metrics.store_write();
+            self.metrics.record_store_write();
             self.table.commit(&transaction).await?;
         }
         let key = incarnation_key(row.incarnation);
         let transaction = TableTransaction::default().check(key.clone(), row.version).delete(key);
-        self.metrics.store_write();
+        self.metrics.record_store_write();
         self.table.commit(&transaction).await?;
         self.event("incarnation_collected").detail(format!("of={}", row.incarnation)).log();
         Ok(())
--- a/src/node/ownership/load.rs
+++ b/src/node/ownership/load.rs
@@ -1,4 +1,4 @@
-//! Rebuilds the programs of shards from checkpoints and journals.
+//! Rebuilds a shard's programs from its checkpoint and journal for a new owner.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -15,20 +15,20 @@
 use crate::node::journal::{JournalError, batch_key, journal_prefix};
 use crate::node::platform::{StoreError, parse_row};
 
-/// Programs of some shards at one point of their owner's journal.
+/// Programs of one or more shards at a batch boundary of their owner's journal.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(super) struct ShardCheckpoint {
     pub(super) programs: Vec<ProgramRecord>,
 }
 
-/// Journal batches read so far, by incarnation and number.
+/// Batches and checkpoints that several shards share, so that each is read once.
 #[derive(Default)]
 struct BatchCache {
     batches: BTreeMap<(Incarnation, u64), JournalBatch>,
     checkpoints: BTreeMap<Box<str>, Rc<ShardCheckpoint>>,
 }
 
-const JOURNAL_PAGE: usize = 256;
+const JOURNAL_PAGE_SIZE: usize = 256;
 
 impl Node {
     pub(super) async fn load_shards(
@@ -60,7 +60,7 @@
             }
         }
         for span in &row.spans {
-            // The open span is this incarnation's own; it holds nothing of the shard yet.
+            // The open span belongs to this incarnation and has no records of the shard yet.
             let Some(until) = span.until else { continue };
             self.load_span(span, until, cache).await?;
             for sequence in span.from..until {
@@ -90,8 +90,7 @@
         Ok(checkpoint)
     }
 
-    /// Reads a span's batches. One that is missing would be a hole in a history, so the shard is
-    /// rather not served at all.
+    /// Fails if a batch is missing: a shard is not served with a gap in its history.
     async fn load_span(
         &self,
         span: &JournalSpan,
@@ -106,7 +105,7 @@
                 continue;
             }
             let after = next.checked_sub(1).map(|last| batch_key(span.incarnation, last));
-            let page = self.table.scan(&prefix, after.as_deref(), JOURNAL_PAGE).await?;
+            let page = self.table.scan(&prefix, after.as_deref(), JOURNAL_PAGE_SIZE).await?;
             let expected = batch_key(span.incarnation, next);
             if page.first().is_none_or(|row| row.key != expected) {
                 return Err(missing(&expected));
@@ -120,10 +119,8 @@
         Ok(())
     }
 
-    /// Puts loaded programs into the book and opens their shards.
-    ///
-    /// An intent without a result was or may have been sent by a former owner; its outcome is
-    /// unknown for good, and it is not sent again. That is durable before the shard takes calls.
+    /// A previous owner may have sent an intent that has no result; its outcome stays unknown and
+    /// it is not sent again. This is durable before the shards accept calls.
     pub(super) async fn serve_shards(
         &self,
         shards: &[ShardId],
@@ -134,7 +131,7 @@
         for shard in shards {
             self.book.borrow_mut().remove_shard(*shard);
         }
-        self.segments.borrow_mut().loaded(shards, &programs);
+        self.segments.borrow_mut().record_loaded(shards, &programs);
         for mut program in programs {
             program.last_active = Some(now);
             self.book.borrow_mut().insert(program);
@@ -150,7 +147,6 @@
     }
 }
 
-/// The lasting result of a call whose owner was lost.
 fn resolve_intent(program: &ProgramRecord) -> Option<JournalRecord> {
     let intent = program.intent.as_ref()?;
     let message = "the program's owner was lost while the call was under way";
--- a/src/node/peers/codec.rs
+++ b/src/node/peers/codec.rs
@@ -1,4 +1,4 @@
-//! Gossip datagrams as packed Cap'n Proto messages.
+//! Wire encoding of gossip datagrams and permit requests in Cap'n Proto.
 
 use std::time::Duration;
 
@@ -11,7 +11,6 @@
 use crate::core::timeline::CausalStamp;
 use crate::peer_capnp::{MemberState as WireState, gossip, member_update, permit_request, stamp};
 
-/// Writes a datagram.
 pub(crate) fn encode_gossip(message: &GossipMessage) -> Vec<u8> {
     let mut builder = Builder::new_default();
     let mut root = builder.init_root::<gossip::Builder<'_>>();
@@ -32,25 +31,24 @@
         GossipBody::Join => root.set_join(()),
     }
     let mut bytes = Vec::new();
-    serialize_packed::write_message(&mut bytes, &builder).expect("a vector takes any message");
+    serialize_packed::write_message(&mut bytes, &builder).expect("writing to a Vec cannot fail");
     bytes
 }
 
-/// Reads a datagram.
 pub(crate) fn decode_gossip(bytes: &[u8]) -> Result<GossipMessage, capnp::Error> {
     let reader = serialize_packed::read_message(bytes, ReaderOptions::new())?;
     let root = reader.get_root::<gossip::Reader<'_>>()?;
     let body = match root.which()? {
         gossip::Ping(()) => GossipBody::Ping,
         gossip::Ack(()) => GossipBody::Ack,
-        gossip::IndirectPing(target) => GossipBody::IndirectPing(text(target?)?),
+        gossip::IndirectPing(target) => GossipBody::IndirectPing(read_text(target?)?),
         gossip::Join(()) => GossipBody::Join,
     };
     let updates = root.get_updates()?.iter().map(read_update).collect::<Result<_, _>>()?;
     Ok(GossipMessage {
         stamp: read_stamp(root.get_stamp()?),
-        from: text(root.get_from()?)?,
-        from_address: text(root.get_from_address()?)?,
+        from: read_text(root.get_from()?)?,
+        from_address: read_text(root.get_from_address()?)?,
         config_head: root.get_config_head(),
         head_age: age_from_wire(root.get_head_age_millis()),
         sequence: root.get_sequence(),
@@ -59,7 +57,8 @@
     })
 }
 
-/// Rounds up: a proof that looks younger than it is would be unsound.
+/// Encodes an age in milliseconds plus one; 0 is reserved for "none". Rounds up, since an
+/// underestimated age would be unsound.
 fn age_to_wire(age: Duration) -> u32 {
     let millis = age.as_micros().div_ceil(1000) + 1;
     millis.try_into().unwrap_or(u32::MAX)
@@ -78,7 +77,7 @@
     CausalStamp { wall_micros: reader.get_wall_micros(), counter: reader.get_counter() }
 }
 
-pub(super) fn text(reader: capnp::text::Reader<'_>) -> Result<Box<str>, capnp::Error> {
+pub(super) fn read_text(reader: capnp::text::Reader<'_>) -> Result<Box<str>, capnp::Error> {
     Ok(reader.to_str()?.into())
 }
 
@@ -93,23 +92,23 @@
     wire.set_attained(request.attained);
     wire.set_tokens(request.tokens);
     wire.set_own_tokens(request.own_tokens);
-    wire.set_newcomer(request.newcomer);
+    wire.set_newcomer(request.cold);
     wire.set_wait_millis(request.wait.as_millis().min(u32::MAX.into()) as u32);
 }
 
 pub(super) fn read_permit(wire: permit_request::Reader<'_>) -> Result<PermitRequest, capnp::Error> {
     Ok(PermitRequest {
         permit: wire.get_permit(),
-        holder: text(wire.get_holder()?)?,
+        holder: read_text(wire.get_holder()?)?,
         program: wire.get_program(),
-        workspace: text(wire.get_workspace()?)?,
-        engine: text(wire.get_engine()?)?,
+        workspace: read_text(wire.get_workspace()?)?,
+        engine: read_text(wire.get_engine()?)?,
         class: if wire.get_paying() { ServiceClass::Paying } else { ServiceClass::Trial },
         weight: wire.get_weight(),
         attained: wire.get_attained(),
         tokens: wire.get_tokens(),
         own_tokens: wire.get_own_tokens(),
-        newcomer: wire.get_newcomer(),
+        cold: wire.get_newcomer(),
         wait: Duration::from_millis(wire.get_wait_millis().into()),
     })
 }
@@ -137,7 +136,7 @@
 
 fn read_update(reader: member_update::Reader<'_>) -> Result<MemberInfo, capnp::Error> {
     Ok(MemberInfo {
-        instance: text(reader.get_instance()?)?,
+        instance: read_text(reader.get_instance()?)?,
         incarnation: reader.get_incarnation(),
         revision: reader.get_revision(),
         state: match reader.get_state()? {
@@ -147,10 +146,10 @@
             WireState::Dead => MemberState::Dead,
             WireState::Doubted => MemberState::LeavingSuspect,
         },
-        zone: text(reader.get_zone()?)?,
-        http_address: text(reader.get_http_address()?)?,
-        rpc_address: text(reader.get_rpc_address()?)?,
-        gossip_address: text(reader.get_gossip_address()?)?,
+        zone: read_text(reader.get_zone()?)?,
+        http_address: read_text(reader.get_http_address()?)?,
+        rpc_address: read_text(reader.get_rpc_address()?)?,
+        gossip_address: read_text(reader.get_gossip_address()?)?,
         load: MemberLoad {
             paying: reader.get_paying_load(),
             trial: reader.get_trial_load(),
--- a/src/standin/network.rs
+++ b/src/standin/network.rs
@@ -174,16 +174,16 @@
         to: &MemberInfo,
         request: PermitRequest,
     ) -> Result<PermitReply, PeerError> {
-        Ok(self.reach(to).await?.acquire_here(request).await)
+        Ok(self.reach(to).await?.acquire_local_permit(request).await)
     }
 
-    async fn finish(
+    async fn release(
         &self,
         to: &MemberInfo,
         engine: &str,
         permit: PermitId,
     ) -> Result<(), PeerError> {
-        self.reach(to).await?.finish_permit(engine, permit);
+        self.reach(to).await?.release_permit(engine, permit);
         Ok(())
     }
 
@@ -201,12 +201,12 @@
         Ok(())
     }
 
-    async fn ended(
+    async fn ended_programs(
         &self,
         to: &MemberInfo,
         programs: Vec<ProgramId>,
     ) -> Result<Vec<ProgramId>, PeerError> {
-        Ok(self.reach(to).await?.ended_here(&programs))
+        Ok(self.reach(to).await?.ended_locally(&programs))
     }
 
     async fn changes_since(
